--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -181,7 +181,7 @@
 {
 	jlog_end(jlog_begin("main", "stood_still"));
 	rq_on_wake();
-	mesh_woke();
+	mesh_resumed();
 }
 
 static void set_needs(const struct entry_cfg *c)
--- a/src/fleet/mesh.c
+++ b/src/fleet/mesh.c
@@ -1,20 +1,22 @@
-/* What this instance tells of itself: heartbeats, and news that don't wait for the next one. */
+/* Heartbeats, and the state of this instance that they report. */
 #include "clock.h"
 #include "mesh_impl.h"
 #include "met.h"
 #include "poison.h"
 #include "watch.h"
 
-/* Whoever hears nobody for so long after it stood still goes on alone: three beats. */
-#define ALONE_US 1500000
-#define WHOLE_EVERY 5 /* beats between whole load messages: heals what was missed */
+/* Time after a suspension until this instance continues with what it has, though none has sent
+ * anything new. Microseconds; more than three heartbeats. */
+#define RESUME_TIMEOUT_US 1500000
+/* Heartbeats between full load messages, which replace missed ones. */
+#define FULL_LOADS_INTERVAL 5
 
 static const struct entry_cfg *cfg;
-static struct ev_timer beat_timer;
+static struct ev_timer heartbeat_timer;
 static int self_ready, self_draining, self_store_up = 1, self_store_late;
-static unsigned beats;
-static int64_t woke_us; /* it stood still until then, and has heard nothing since; 0: it has */
-static int64_t stood_still_us;
+static unsigned heartbeat_count;
+static int64_t unsynced_since_us; /* time of the resume if not yet up to date; else 0 */
+static int64_t resumed_us;
 
 const struct entry_cfg *mesh_cfg(void)
 {
@@ -23,13 +25,13 @@
 
 void mesh_set_state(int ready, int draining)
 {
-	int drains = draining && !self_draining;
+	int drain_begins = draining && !self_draining;
 
 	if (self_draining != draining) mesh_roles_stale();
 	self_ready = ready;
 	self_draining = draining;
 	/* It is no hub from now on, and its next heartbeat may be a second away. */
-	if (drains) mesh_beat_now();
+	if (drain_begins) mesh_heartbeat_now();
 }
 
 int mesh_self_draining(void)
@@ -57,10 +59,10 @@
 {
 	if (self_store_late == late) return;
 	self_store_late = late;
-	mesh_beat_now();
+	mesh_heartbeat_now();
 }
 
-int mesh_store_in_doubt(void)
+int mesh_store_degraded(void)
 {
 	const GPtrArray *all = mesh_members();
 	uint32_t i;
@@ -69,7 +71,7 @@
 	for (i = 0; i < all->len; i++) {
 		const struct member *m = g_ptr_array_index(all, i);
 
-		if (m->alive && (!m->said.store_up || m->said.store_late)) return 1;
+		if (m->alive && (!m->hb.store_up || m->hb.store_late)) return 1;
 	}
 	return 0;
 }
@@ -91,27 +93,27 @@
 	return mesh_place_hash(cfg->region);
 }
 
-/* Beats to m come each so many of this instance's. */
-static int beats_every(const struct member *m)
+/* Interval of heartbeats to m, in units of MESH_HEARTBEAT_US. */
+static int heartbeat_interval(const struct member *m)
 {
-	if (!mesh_self_serves() && !mesh_self_hub()) return MESH_QUIET_BEATS;
-	return m->hub || m->said.serves || mesh_tells(m) ? 1 : MESH_QUIET_BEATS;
+	if (!mesh_self_serving() && !mesh_self_hub()) return MESH_STANDBY_INTERVAL;
+	return m->hub || m->hb.serving || mesh_informs(m) ? 1 : MESH_STANDBY_INTERVAL;
 }
 
-void mesh_write_own_beat(GString *out, const struct member *to, int answers)
+void mesh_write_own_heartbeat(GString *out, const struct member *to, int echo)
 {
-	struct mesh_beat b = {.ready = self_ready,
-			      .draining = self_draining,
-			      .store_up = self_store_up,
-			      .store_late = self_store_late,
-			      .link_mbps = cfg->link_mbps,
-			      .serves = mesh_self_serves(),
-			      .verdicts = poison_digest(),
-			      .orders = board_orders_digest(),
-			      .from = watch_backends_from(),
-			      .dc = mesh_self_dc(),
-			      .region = mesh_self_region(),
-			      .every = beats_every(to)};
+	struct mesh_heartbeat b = {.ready = self_ready,
+				   .draining = self_draining,
+				   .store_up = self_store_up,
+				   .store_late = self_store_late,
+				   .link_mbps = cfg->link_mbps,
+				   .serving = mesh_self_serving(),
+				   .verdicts = poison_digest(),
+				   .orders = board_orders_digest(),
+				   .backends_from = watch_backends_from(),
+				   .dc = mesh_self_dc(),
+				   .region = mesh_self_region(),
+				   .interval = heartbeat_interval(to)};
 	int64_t now = clock_us(), confirmed = board_confirmed_us();
 
 	g_strlcpy(b.name, cfg->instance, sizeof b.name);
@@ -120,47 +122,48 @@
 	b.revs = board_revs();
 	b.confirmed_ago_us = confirmed == BOARD_NEVER ? -1 : now - confirmed;
 	b.stamp_us = now;
-	if (answers && to->heard_us) {
-		b.echo_us = to->said.stamp_us;
-		b.echo_held_us = now - to->heard_us;
+	if (echo && to->last_seen_us) {
+		b.echo_us = to->hb.stamp_us;
+		b.echo_held_us = now - to->last_seen_us;
 	}
-	mesh_write_beat(out, &b);
+	mesh_write_heartbeat(out, &b);
 }
 
-static void send_beat(struct member *m, int with_loads)
+static void send_heartbeat(struct member *m, int with_loads)
 {
 	GString *out;
 
 	if (!cn_open(&m->link) || m->link.connecting) return;
 	out = g_string_new(NULL);
-	mesh_write_own_beat(out, m, 1);
-	if (with_loads && m->said.serves) mesh_write_all_loads(out);
+	mesh_write_own_heartbeat(out, m, 1);
+	if (with_loads && m->hb.serving) mesh_write_all_loads(out);
 	mesh_send(m, out);
 	g_string_free(out, TRUE);
 }
 
-void mesh_answer(struct member *m)
+void mesh_send_heartbeat(struct member *m)
 {
-	send_beat(m, 0);
+	send_heartbeat(m, 0);
 }
 
-/* The slow ones are spread over the beats, by the receiver. */
+/* The receiver's address decides in which period a slower heartbeat is sent, so that they are
+ * spread evenly. */
 static int is_due(const struct member *m)
 {
-	int every = beats_every(m);
+	int interval = heartbeat_interval(m);
 
-	return every == 1 || (beats + g_str_hash(m->ip)) % every == 0;
+	return interval == 1 || (heartbeat_count + g_str_hash(m->ip)) % interval == 0;
 }
 
-/* Links between two that stand by are let go. */
+/* Closes the link between two standby instances. */
 static int keep_link(struct member *m)
 {
-	if (mesh_linked_to(m)) return 1;
+	if (mesh_keeps_link(m)) return 1;
 	if (cn_open(&m->link)) cn_close(&m->link);
 	return 0;
 }
 
-static void beat_to(struct member *m, int64_t now)
+static void maintain_link(struct member *m, int64_t now)
 {
 	if (!keep_link(m)) return;
 	if (!cn_open(&m->link)) {
@@ -173,46 +176,49 @@
 		mesh_connect(m);
 		return;
 	}
-	if (mesh_link_is_silent(m, MAX(beats_every(m), m->said.every), now))
+	if (mesh_link_is_silent(m, MAX(heartbeat_interval(m), m->hb.interval), now))
 		mesh_renew_link(m, "heartbeats on it are not answered");
 	else if (is_due(m))
-		send_beat(m, beats % WHOLE_EVERY == 0);
+		send_heartbeat(m, heartbeat_count % FULL_LOADS_INTERVAL == 0);
 }
 
-void mesh_woke(void)
+void mesh_resumed(void)
 {
-	woke_us = stood_still_us = clock_us();
-	mesh_beat_now();
+	unsynced_since_us = resumed_us = clock_us();
+	mesh_heartbeat_now();
 }
 
-int64_t mesh_stood_still_us(void)
+int64_t mesh_resumed_us(void)
 {
-	return stood_still_us;
+	return resumed_us;
 }
 
-void mesh_heard_echo(int64_t sent_us)
+void mesh_echo_received(int64_t sent_us)
 {
-	if (sent_us >= woke_us) woke_us = 0;
+	if (sent_us >= unsynced_since_us) unsynced_since_us = 0;
 }
 
-int mesh_is_awake(void)
+int mesh_is_current(void)
 {
-	if (!woke_us) return 1;
-	if (board_confirmed_us() >= woke_us || clock_us() - woke_us >= ALONE_US) woke_us = 0;
-	return !woke_us;
+	if (!unsynced_since_us) return 1;
+	if (board_confirmed_us() >= unsynced_since_us ||
+	    clock_us() - unsynced_since_us >= RESUME_TIMEOUT_US)
+		unsynced_since_us = 0;
+	return !unsynced_since_us;
 }
 
-void mesh_beat_now(void)
+void mesh_heartbeat_now(void)
 {
 	const GPtrArray *all = mesh_members();
 	uint32_t i;
 
-	for (i = 0; i < all->len; i++) send_beat(g_ptr_array_index(all, i), 0);
+	for (i = 0; i < all->len; i++) send_heartbeat(g_ptr_array_index(all, i), 0);
 }
 
-/* Who is in the fleet gets to all through the hubs: parts of it that were started
- * from different seeds, and instances that came while others were being told, find together. */
-static void tell_somebody_of_all(void)
+/* Each hub sends the list of members to a random member, once per heartbeat. This joins parts
+ * of a fleet that were started from different seeds, and instances that joined while others
+ * were being announced. */
+static void gossip_members(void)
 {
 	const GPtrArray *all = mesh_members();
 	struct member *m;
@@ -226,21 +232,21 @@
 	g_string_free(out, TRUE);
 }
 
-static void on_beat(struct ev_timer *t)
+static void on_heartbeat_timer(struct ev_timer *t)
 {
 	const GPtrArray *all = mesh_members();
 	int64_t now = clock_us();
 	uint32_t i;
 
-	ev_in(t, MESH_BEAT_US);
-	beats++;
+	ev_in(t, MESH_HEARTBEAT_US);
+	heartbeat_count++;
 	mesh_check_members(now);
-	if (mesh_is_awake()) mesh_close_idle(now);
+	if (mesh_is_current()) mesh_close_idle(now);
 	mesh_choose_roles();
-	for (i = 0; i < all->len; i++) beat_to(g_ptr_array_index(all, i), now);
-	tell_somebody_of_all();
-	met_set(MET_G_MEMBERS, mesh_live());
-	met_set(MET_G_WATCHES, mesh_watches());
+	for (i = 0; i < all->len; i++) maintain_link(g_ptr_array_index(all, i), now);
+	gossip_members();
+	met_set(MET_G_MEMBERS, mesh_count_live());
+	met_set(MET_G_WATCHES, mesh_watches_store());
 }
 
 int mesh_start(const struct entry_cfg *c)
@@ -252,7 +258,7 @@
 	mesh_orders_start();
 	mesh_rank_start();
 	mesh_fetch_start();
-	beat_timer.fire = on_beat;
-	ev_in(&beat_timer, 0);
+	heartbeat_timer.fire = on_heartbeat_timer;
+	ev_in(&heartbeat_timer, 0);
 	return mesh_listen();
 }
--- a/src/fleet/mesh_accept.c
+++ b/src/fleet/mesh_accept.c
@@ -1,4 +1,4 @@
-/* Links from other instances are accepted, and what comes on them is cut into frames. */
+/* Accepts links from other instances and splits what arrives on them into frames. */
 #include "clock.h"
 #include "ev.h"
 #include "jlog.h"
@@ -10,7 +10,7 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-/* Whoever lives has sent a heartbeat by then, or has forgotten this instance. */
+/* A live instance has sent a heartbeat by then, or has forgotten this instance. */
 #define IDLE_US 30000000
 
 static struct ev_fd listener;
@@ -31,7 +31,7 @@
 	mesh_drop_in((struct mesh_in *)c);
 }
 
-int mesh_cut_frames(struct mesh_in *in, const char *p, size_t len)
+int mesh_split_frames(struct mesh_in *in, const char *p, size_t len)
 {
 	size_t off = 0;
 	uint32_t n;
@@ -57,16 +57,16 @@
 {
 	GString *g = jlog_begin("fleet", "peer_frame_malformed");
 
-	jlog_str(g, "member", in->from ? in->from->said.name : NULL);
+	jlog_str(g, "member", in->from ? in->from->hb.name : NULL);
 	jlog_end(g);
 }
 
 static void on_in_data(struct cn *c, const char *p, size_t n)
 {
 	struct mesh_in *in = (struct mesh_in *)c;
-	int rc = mesh_cut_frames(in, p, n);
+	int rc = mesh_split_frames(in, p, n);
 
-	in->heard_us = clock_us();
+	in->last_data_us = clock_us();
 	if (!rc) return;
 	if (rc == -EBADMSG) log_malformed(in);
 	mesh_drop_in(in);
@@ -90,7 +90,7 @@
 	for (i = accepted->len; i-- > 0;) {
 		struct mesh_in *in = g_ptr_array_index(accepted, i);
 
-		if (in->serving || now - in->heard_us < IDLE_US) continue;
+		if (in->sending_copy || now - in->last_data_us < IDLE_US) continue;
 		met_add(MET_PEER_IDLE, 1);
 		mesh_drop_in(in);
 	}
@@ -107,7 +107,7 @@
 	if (fd < 0) return;
 	in = g_new0(struct mesh_in, 1);
 	in->buf = g_string_new(NULL);
-	in->heard_us = clock_us();
+	in->last_data_us = clock_us();
 	in->cn.on_data = on_in_data;
 	in->cn.on_end = on_in_end;
 	g_ptr_array_add(accepted, in);
--- /dev/null
+++ b/src/fleet/mesh_confirm.c
@@ -0,0 +1,22 @@
+/* Evaluates what another instance's heartbeat states of the platform's lists. */
+#include "clock.h"
+#include "mesh_impl.h"
+#include <string.h>
+
+/*
+ * The sender's configuration was confirmed confirmed_ago_us before it sent this heartbeat, and
+ * our stamp echo_us had arrived there echo_held_us before. So it was confirmed no earlier than
+ * our stamp plus the difference, by our own clock, however long the heartbeat took to arrive
+ * and be read.
+ */
+static void apply_confirmation(const struct mesh_heartbeat *b)
+{
+	if (!b->echo_us || b->confirmed_ago_us < 0) return;
+	board_confirm(b->revs.conf, b->echo_us + b->echo_held_us - b->confirmed_ago_us);
+}
+
+void mesh_check_lists(struct member *m)
+{
+	apply_confirmation(&m->hb);
+	mesh_fetch_soon(m);
+}
--- a/src/fleet/mesh_fetch.c
+++ b/src/fleet/mesh_fetch.c
@@ -1,60 +1,64 @@
-/* What this instance lacks of the platform's lists is fetched from one that has it, on a
- * connection of its own: heartbeats don't wait behind it, and it can be given up. */
+/* Fetches lists of the platform that this instance lacks from another instance. The fetch has a
+ * connection of its own, so that heartbeats don't queue behind it and it can be abandoned. */
 #include "clock.h"
 #include "jlog.h"
 #include "mesh_impl.h"
 #include "met.h"
 #include <arpa/inet.h>
 
-#define MANY 16               /* instances: more must not all ask at once */
-#define SPREAD_US 30000       /* news on another link may be a moment behind a heartbeat */
-#define SPREAD_MANY_US 300000 /* within it many ask */
-#define SILENT_US 700000      /* without a byte: another one is asked */
-#define HOLD_SLACK_US 2000    /* timers fire a millisecond early */
-#define NEXT_US 25000         /* after a refusal, before another one is asked */
-#define REFUSED_US 400000     /* it is not asked again: half of a copy on a small link */
-/* An instance without any list of servers waits so long for one of its own data centre to have
- * it: one copy crosses to each data centre, not one to each instance. */
-#define NEAR_US 2000000
-#define NEAR_HEARD_US 600000    /* from when on those that are there have been heard */
-#define NARROWER_MOST 2         /* times: a narrower link costs more than a far one */
-#define NOTHING_NEWER INT64_MAX /* as a revision: no item is wanted */
-
-static struct mesh_in *fetch; /* the answer under way, or NULL */
-static size_t received;       /* bytes of it */
-static int64_t begun_us;      /* when it was asked for */
-static int64_t hold_us;       /* none begins before */
-static int64_t lacked_us;     /* since when there is a configuration, and no list */
-/* While fetching: how long nothing may come. Else: when the next one is asked. */
+#define MANY_MEMBERS 16           /* more members must not all fetch at once */
+#define SPREAD_US 30000           /* updates on another link may trail a heartbeat */
+#define SPREAD_MANY_US 300000     /* fetches of many instances are spread over it */
+#define STALL_US 700000           /* without a byte: another source is tried */
+#define DELAY_SLACK_US 2000       /* timers fire up to a millisecond early */
+#define RETRY_US 25000            /* average delay before another source is tried */
+#define REFUSED_BACKOFF_US 400000 /* half the time of a copy on a narrow link */
+/* An instance without a list of servers waits up to NEAR_WAIT_US until one of its own data
+ * centre has it, so that one copy crosses to each data centre rather than one to each
+ * instance. */
+#define NEAR_WAIT_US 2000000
+/* By then instances of the same data centre have sent a heartbeat. */
+#define NEAR_DISCOVERY_US 600000
+/* A link narrower by more than this factor costs more than the distance. */
+#define NEAR_MAX_RATIO 2
+#define NOTHING_NEWER INT64_MAX /* as a revision: requests no item */
+
+static struct mesh_in *fetch;    /* the fetch in progress, or NULL */
+static size_t received;          /* bytes of its answer */
+static int64_t begin_us;         /* when it began */
+static int64_t not_before_us;    /* no fetch begins before */
+static int64_t lacking_since_us; /* since when only the list of servers is missing; 0: no */
+/* While fetching, detects a stall; else starts the next fetch. */
 static struct ev_timer timer;
 
-static int is_more(struct board_revs revs)
+static int is_newer(struct board_revs revs)
 {
 	struct board_revs mine = board_revs();
 
 	return revs.conf > mine.conf || revs.backends > mine.backends;
 }
 
-/* By its own word, or by that of one that turned this instance away. */
-static int knows_more(const struct member *m)
+/* Newer by its own heartbeat, or by the report of an instance that refused a copy. */
+static int has_newer(const struct member *m)
 {
-	return is_more(m->said.revs) || is_more(m->held);
+	return is_newer(m->hb.revs) || is_newer(m->reported_revs);
 }
 
-static int may_have_it(const struct member *m)
+static int may_have_newer(const struct member *m)
 {
-	return (m->alive && is_more(m->said.revs)) || is_more(m->held);
+	return (m->alive && is_newer(m->hb.revs)) || is_newer(m->reported_revs);
 }
 
 static int can_be_asked(const struct member *m)
 {
-	return may_have_it(m) && clock_us() >= m->fetch_after_us;
+	return may_have_newer(m) && clock_us() >= m->fetch_after_us;
 }
 
-/* Whoever was named by others alone was named as near. */
+/* Without a heartbeat the data centre is unknown. Instances that refuse a copy name members
+ * near to this one where they can. */
 static int is_near(const struct member *m)
 {
-	return !m->said.dc || m->said.dc == mesh_self_dc();
+	return !m->hb.dc || m->hb.dc == mesh_self_dc();
 }
 
 static int any_near(void)
@@ -70,8 +74,8 @@
 	return 0;
 }
 
-/* The list of servers is all that is missing, and all of it. */
-static int lacks_list_alone(void)
+/* Whether only the list of servers is missing, and all of it. */
+static int lacks_only_backends(void)
 {
 	const GPtrArray *all = mesh_members();
 	struct board_revs mine = board_revs();
@@ -81,32 +85,32 @@
 	for (i = 0; i < all->len; i++) {
 		const struct member *m = g_ptr_array_index(all, i);
 
-		if (m->alive && m->said.revs.conf > mine.conf) return 0;
+		if (m->alive && m->hb.revs.conf > mine.conf) return 0;
 	}
 	return 1;
 }
 
-static int waits_for_near(void)
+static int should_wait_for_near(void)
 {
 	int64_t now = clock_us();
 
-	if (!lacks_list_alone()) {
-		lacked_us = 0;
+	if (!lacks_only_backends()) {
+		lacking_since_us = 0;
 		return 0;
 	}
-	if (!lacked_us) lacked_us = now;
-	return now - lacked_us < (any_near() ? NEAR_US : NEAR_HEARD_US);
+	if (!lacking_since_us) lacking_since_us = now;
+	return now - lacking_since_us < (any_near() ? NEAR_WAIT_US : NEAR_DISCOVERY_US);
 }
 
-/* The wider its link, the likelier an instance is asked; it may not have told how wide. */
+/* Weight of m in the choice of a source: the bandwidth of its link, if it has reported it. */
 static int weight(const struct member *m, int near)
 {
 	if (!can_be_asked(m) || (near && !is_near(m))) return 0;
-	return MAX(1, m->said.link_mbps);
+	return MAX(1, m->hb.link_mbps);
 }
 
-/* Somebody near can be asked whose link is about as wide as any. */
-static int has_near(void)
+/* Whether a source in this data centre has a link that is about as wide as any. */
+static int has_wide_near_source(void)
 {
 	const GPtrArray *all = mesh_members();
 	int widest = 0, near = 0;
@@ -116,13 +120,13 @@
 		const struct member *m = g_ptr_array_index(all, i);
 
 		widest = MAX(widest, weight(m, 0));
-		if (m->said.dc == mesh_self_dc()) near = MAX(near, weight(m, 1));
+		if (m->hb.dc == mesh_self_dc()) near = MAX(near, weight(m, 1));
 	}
-	return near && near * NARROWER_MOST >= widest;
+	return near && near * NEAR_MAX_RATIO >= widest;
 }
 
-/* One of those who know more, drawn by what their links carry; NULL: none can be asked now. */
-static struct member *draw(int near)
+/* Picks a random source, weighted by link bandwidth; NULL: none can be asked now. */
+static struct member *pick_source(int near)
 {
 	const GPtrArray *all = mesh_members();
 	double sum = 0, at;
@@ -140,7 +144,7 @@
 	return NULL;
 }
 
-static int anybody_knows_more(void)
+static int any_has_newer(void)
 {
 	const GPtrArray *all = mesh_members();
 	uint32_t i;
@@ -148,12 +152,12 @@
 	for (i = 0; i < all->len; i++) {
 		const struct member *m = g_ptr_array_index(all, i);
 
-		if (may_have_it(m)) return 1;
+		if (may_have_newer(m)) return 1;
 	}
 	return 0;
 }
 
-static void drop(void)
+static void drop_fetch(void)
 {
 	if (!fetch) return;
 	ev_stop(&timer);
@@ -163,29 +167,30 @@
 	fetch = NULL;
 }
 
-static void look_again(void)
+static void schedule_next(void)
 {
-	ev_in(&timer, NEXT_US / 2 + g_random_int_range(0, NEXT_US));
+	ev_in(&timer, RETRY_US / 2 + g_random_int_range(0, RETRY_US));
 }
 
-/* It refused, or nothing comes: another one is asked, and it again when it may have a place. */
-static void try_another(void)
+/* The source refused or stalled: tries another one, and this one again after a back-off, when
+ * it may have capacity. */
+static void abandon(void)
 {
-	fetch->from->fetch_after_us = clock_us() + REFUSED_US;
-	/* What others said of it was wrong, or is no more use than its own word. */
-	fetch->from->held = (struct board_revs){0};
-	drop();
-	look_again();
+	fetch->from->fetch_after_us = clock_us() + REFUSED_BACKOFF_US;
+	/* The report was wrong, or adds nothing to the source's own heartbeat. */
+	fetch->from->reported_revs = (struct board_revs){0};
+	drop_fetch();
+	schedule_next();
 }
 
 static void on_fetch_end(struct cn *c, int err)
 {
 	(void)c;
 	(void)err;
-	try_another();
+	abandon();
 }
 
-/* The configuration first, alone: it is small mostly, and anybody's will do. */
+/* Requests the configuration first, alone: it is small as a rule, and any source will do. */
 static struct board_revs wanted_after(void)
 {
 	struct board_revs after = board_revs();
@@ -207,9 +212,9 @@
 {
 	GString *g = jlog_begin("fleet", "lists_fetched");
 
-	jlog_str(g, "from", fetch->from->said.name);
+	jlog_str(g, "from", fetch->from->hb.name);
 	jlog_int(g, "bytes", received);
-	jlog_int(g, "took_ms", (clock_us() - begun_us) / 1000);
+	jlog_int(g, "took_ms", (clock_us() - begin_us) / 1000);
 	jlog_end(g);
 }
 
@@ -217,20 +222,20 @@
 {
 	(void)c;
 	received += n;
-	ev_in(&timer, SILENT_US);
-	if (mesh_cut_frames(fetch, p, n) || fetch->turned_away) {
-		try_another();
+	ev_in(&timer, STALL_US);
+	if (mesh_split_frames(fetch, p, n) || fetch->redirected) {
+		abandon();
 		return;
 	}
-	/* It came whole, or from the store meanwhile. */
-	if (knows_more(fetch->from) && fetch->buf->len) return;
+	/* Complete, or received from the store meanwhile. */
+	if (has_newer(fetch->from) && fetch->buf->len) return;
 	log_fetched();
-	drop();
-	mesh_beat_now(); /* it can be had here, too */
-	if (anybody_knows_more()) look_again();
+	drop_fetch();
+	mesh_heartbeat_now(); /* announces that this instance has it, too */
+	if (any_has_newer()) schedule_next();
 }
 
-static void begin(struct member *m)
+static void begin_fetch(struct member *m)
 {
 	struct sockaddr_in to = {.sin_family = AF_INET,
 				 .sin_port = htons(mesh_cfg()->peer_port)};
@@ -239,17 +244,17 @@
 	fetch = g_new0(struct mesh_in, 1);
 	fetch->buf = g_string_new(NULL);
 	fetch->from = m;
-	fetch->ours = 1;
+	fetch->outgoing = 1;
 	fetch->cn.on_up = on_fetch_up;
 	fetch->cn.on_data = on_fetch_data;
 	fetch->cn.on_end = on_fetch_end;
 	received = 0;
-	begun_us = clock_us();
+	begin_us = clock_us();
 	met_add(MET_PEER_FETCHES, 1);
 	if (cn_connect(&fetch->cn, &to))
-		try_another();
+		abandon();
 	else
-		ev_in(&timer, SILENT_US);
+		ev_in(&timer, STALL_US);
 }
 
 static void on_timer(struct ev_timer *t)
@@ -258,46 +263,46 @@
 
 	(void)t;
 	if (fetch) {
-		try_another();
+		abandon();
 		return;
 	}
-	if (clock_us() < hold_us) {
-		ev_at(&timer, hold_us + HOLD_SLACK_US);
+	if (clock_us() < not_before_us) {
+		ev_at(&timer, not_before_us + DELAY_SLACK_US);
 		return;
 	}
-	m = draw(waits_for_near() || has_near());
+	m = pick_source(should_wait_for_near() || has_wide_near_source());
 	if (m)
-		begin(m);
-	else if (anybody_knows_more())
-		look_again();
+		begin_fetch(m);
+	else if (any_has_newer())
+		schedule_next();
 }
 
 void mesh_fetch_soon(const struct member *m)
 {
-	int spread = mesh_members()->len > MANY ? SPREAD_MANY_US : SPREAD_US;
+	int spread = mesh_members()->len > MANY_MEMBERS ? SPREAD_MANY_US : SPREAD_US;
 
-	if (fetch || timer.armed || !knows_more(m)) return;
+	if (fetch || timer.armed || !has_newer(m)) return;
 	ev_in(&timer, g_random_int_range(0, spread));
 }
 
-void mesh_fetch_holder(struct member *m, struct board_revs held)
+void mesh_fetch_add_holder(struct member *m, struct board_revs held)
 {
-	m->held = held;
+	m->reported_revs = held;
 }
 
-int mesh_fetching(void)
+int mesh_fetch_in_progress(void)
 {
 	return fetch && received;
 }
 
-void mesh_hold_fetch(int64_t until_us)
+void mesh_delay_fetch(int64_t until_us)
 {
-	hold_us = until_us;
+	not_before_us = until_us;
 }
 
 void mesh_fetch_forget(const struct member *m)
 {
-	if (fetch && fetch->from == m) try_another();
+	if (fetch && fetch->from == m) abandon();
 }
 
 void mesh_fetch_start(void)
--- a/src/fleet/mesh_in.c
+++ b/src/fleet/mesh_in.c
@@ -1,4 +1,4 @@
-/* Frames of other instances: checked, and taken by their type. */
+/* Checks frames of other instances and dispatches them by type. */
 #include "clock.h"
 #include "dialect.h"
 #include "mesh_impl.h"
@@ -7,18 +7,18 @@
 #include <errno.h>
 #include <string.h>
 
-static int take_beat(struct mesh_in *in, const msgpack_object_array *a)
+static int handle_heartbeat(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct mesh_beat b;
+	struct mesh_heartbeat b;
 
-	if (mesh_read_beat(a, &b)) return -EBADMSG;
+	if (mesh_read_heartbeat(a, &b)) return -EBADMSG;
 	if (!strcmp(b.name, mesh_cfg()->instance)) return -EBADMSG;
-	if (!in->from || strcmp(in->from->ip, b.ip)) in->from = mesh_member_at(b.ip);
-	mesh_heard(in->from, &b);
+	if (!in->from || strcmp(in->from->ip, b.ip)) in->from = mesh_member_get(b.ip);
+	mesh_heartbeat_received(in->from, &b);
 	return 0;
 }
 
-static int take_fetch(struct mesh_in *in, const msgpack_object_array *a)
+static int handle_fetch(struct mesh_in *in, const msgpack_object_array *a)
 {
 	struct board_revs after;
 
@@ -26,9 +26,9 @@
 	return mesh_serve(in, after, a->size > 3 ? (uint32_t)mesh_int(&a->ptr[3]) : 0);
 }
 
-/* Of an earlier release, which waits for the answer on its link; what is large it has from the
+/* From an earlier release, which waits for the answer on its link. It gets large lists from the
  * store. */
-static int take_want(struct mesh_in *in, const msgpack_object_array *a)
+static int handle_fetch_legacy(struct mesh_in *in, const msgpack_object_array *a)
 {
 	struct board_revs after;
 	GString *out;
@@ -42,25 +42,26 @@
 	return 0;
 }
 
-/* Sooner than its next heartbeat tells. */
-static void note_has(struct member *m, struct board_revs r)
+/* Records what m has before its next heartbeat reports it. */
+static void note_revs(struct member *m, struct board_revs r)
 {
-	m->said.revs.conf = MAX(m->said.revs.conf, r.conf);
-	m->said.revs.backends = MAX(m->said.revs.backends, r.backends);
+	m->hb.revs.conf = MAX(m->hb.revs.conf, r.conf);
+	m->hb.revs.backends = MAX(m->hb.revs.backends, r.backends);
 }
 
-/* Up to where the frame makes the lists complete, as its sender tells: the newest item may have
- * changed again since. Earlier releases send no such word, and mean their newest item. */
-struct claims {
+/* Revisions up to which a frame makes the lists complete. The sender states that of the servers
+ * (complete_to), as its newest item may have changed again since. Earlier releases don't, and
+ * their newest item counts. */
+struct frame_revs {
 	struct board_revs newest;
-	uint64_t told;
+	uint64_t complete_to;
 };
 
-static void note_item(struct claims *c, const struct st_item *i)
+static void note_item(struct frame_revs *c, const struct st_item *i)
 {
 	enum dl_item kind = dl_item_kind(i->key);
 
-	if (!*i->key) c->told = MAX(c->told, i->revision);
+	if (!*i->key) c->complete_to = MAX(c->complete_to, i->revision);
 	if (kind == DL_CONF) c->newest.conf = MAX(c->newest.conf, i->revision);
 	if (kind == DL_BACKEND) c->newest.backends = MAX(c->newest.backends, i->revision);
 }
@@ -69,44 +70,45 @@
 static int apply_items(struct mesh_in *in, const msgpack_object_array *a,
 		       struct board_revs *upto)
 {
-	struct claims c = {0};
+	struct frame_revs c = {0};
 	char key[512];
 	struct st_item i;
 	uint32_t k;
 
 	for (k = 3; k < a->size; k++) {
 		if (mesh_read_item(&a->ptr[k], &i, key, sizeof key)) return -EBADMSG;
-		board_apply(&i, in->from->said.name);
+		board_apply(&i, in->from->hb.name);
 		note_item(&c, &i);
 	}
-	if (c.told) c.newest.backends = c.told;
+	if (c.complete_to) c.newest.backends = c.complete_to;
 	*upto = c.newest;
-	note_has(in->from, *upto);
+	note_revs(in->from, *upto);
 	return 0;
 }
 
-static int take_items(struct mesh_in *in, const msgpack_object_array *a)
+static int handle_items(struct mesh_in *in, const msgpack_object_array *a)
 {
 	struct board_revs after, upto;
 
 	if (mesh_read_revs(a, &after) || apply_items(in, a, &upto)) return -EBADMSG;
-	board_take_news(after.backends, upto.backends); /* or other ones have to come first */
+	/* This has no effect while earlier changes are missing. */
+	board_take_news(after.backends, upto.backends);
 	watch_told(DL_CONF, after.conf, upto.conf);
-	if (in->from->said.from && after.backends >= in->from->said.from)
+	if (in->from->hb.backends_from && after.backends >= in->from->hb.backends_from)
 		watch_told(DL_BACKEND, after.backends, upto.backends);
 	return 0;
 }
 
-/* News go on from what the receiver must know already, or entries between would be missed. The
- * configuration is one item: nothing of it is between, and news of servers don't wait for it.
- */
-static int take_news(struct mesh_in *in, const msgpack_object_array *a)
+/* Applies updates only if this instance has all changes of servers that they follow, as entries
+ * between would be missed. The configuration is a single item, so updates of servers don't
+ * depend on it. */
+static int handle_updates(struct mesh_in *in, const msgpack_object_array *a)
 {
 	struct board_revs after, mine = board_revs();
 
 	if (mesh_read_revs(a, &after)) return -EBADMSG;
 	if (mine.backends >= after.backends) {
-		int rc = take_items(in, a);
+		int rc = handle_items(in, a);
 
 		if (!rc) mesh_forward(mine);
 		return rc;
@@ -115,79 +117,80 @@
 	return 0;
 }
 
-static int take_members(const msgpack_object_array *a)
+static int handle_peers_legacy(const msgpack_object_array *a)
 {
 	char ip[ENTRY_TEXT_MAX + 1];
 	uint32_t k;
 
 	for (k = 1; k < a->size; k++) {
 		if (mesh_text(&a->ptr[k], ip, sizeof ip)) return -EBADMSG;
-		mesh_learnt(ip, 0);
+		mesh_add_member(ip, 0);
 	}
 	return 0;
 }
 
-static int take_peers(const msgpack_object_array *a)
+static int handle_peers(const msgpack_object_array *a)
 {
 	char ip[ENTRY_TEXT_MAX + 1];
 	uint32_t k;
 
 	for (k = 1; k + 1 < a->size; k += 2) {
 		if (mesh_text(&a->ptr[k], ip, sizeof ip)) return -EBADMSG;
-		mesh_learnt(ip, mesh_mbps(&a->ptr[k + 1]));
+		mesh_add_member(ip, mesh_mbps(&a->ptr[k + 1]));
 	}
 	return 0;
 }
 
-/* What it has itself, and who else has it. */
-static int take_holders(struct mesh_in *in, const msgpack_object_array *a)
+/* Stores who has a copy by the report of the instance that refused one. */
+static int handle_holders(struct mesh_in *in, const msgpack_object_array *a)
 {
 	struct board_revs held;
 	char ip[ENTRY_TEXT_MAX + 1];
 	struct member *m;
 	uint32_t k;
 
-	if (!in->ours) return 0;
+	if (!in->outgoing) return 0;
 	if (mesh_read_revs(a, &held)) return -EBADMSG;
-	in->turned_away = 1;
+	in->redirected = 1;
 	for (k = 3; k < a->size; k++) {
 		if (mesh_text(&a->ptr[k], ip, sizeof ip)) return -EBADMSG;
-		m = mesh_learnt(ip, 0);
-		if (m) mesh_fetch_holder(m, held);
+		m = mesh_add_member(ip, 0);
+		if (m) mesh_fetch_add_holder(m, held);
 	}
 	return 0;
 }
 
-static int take(struct mesh_in *in, const msgpack_object_array *a)
+static int handle_frame(struct mesh_in *in, const msgpack_object_array *a)
 {
 	int64_t type = mesh_int(&a->ptr[0]);
 
-	if (type == MESH_BEAT) return take_beat(in, a);
-	if (type == MESH_FETCH) return take_fetch(in, a); /* from anybody, as the store */
+	if (type == MESH_HEARTBEAT) return handle_heartbeat(in, a);
+	/* Accepted without a heartbeat, as the store answers anybody, too. */
+	if (type == MESH_FETCH) return handle_fetch(in, a);
 	if (!in->from) return -EBADMSG;
 	switch ((enum mesh_type)type) {
-	case MESH_LOADS: mesh_take_loads(in->from, a); return 0;
-	case MESH_ITEMS: return take_items(in, a);
-	case MESH_NEWS: return take_news(in, a);
-	case MESH_MEMBERS: return take_members(a);
-	case MESH_PEERS: return take_peers(a);
-	case MESH_HOLDERS: return take_holders(in, a);
-	case MESH_WANT: return take_want(in, a);
-	case MESH_ASK: mesh_answer(in->from); return 0;
-	case MESH_ENDED:
-	case MESH_THROUGH:
-	case MESH_UNDER_WAY:
-	case MESH_VERDICTS: return mesh_take_poison(in->from, a);
-	case MESH_ORDERS: return mesh_take_orders(in->from, a);
-	case MESH_ABSENT: return mesh_take_absent(a);
+	case MESH_LOADS: mesh_handle_loads(in->from, a); return 0;
+	case MESH_ITEMS: return handle_items(in, a);
+	case MESH_UPDATES: return handle_updates(in, a);
+	case MESH_PEERS_LEGACY: return handle_peers_legacy(a);
+	case MESH_PEERS: return handle_peers(a);
+	case MESH_HOLDERS: return handle_holders(in, a);
+	case MESH_FETCH_LEGACY: return handle_fetch_legacy(in, a);
+	case MESH_PING: mesh_send_heartbeat(in->from); return 0;
+	case MESH_CRASH:
+	case MESH_SUCCEEDED:
+	case MESH_IN_FLIGHT:
+	case MESH_VERDICTS: return mesh_handle_quarantine(in->from, a);
+	case MESH_ORDERS: return mesh_handle_orders(in->from, a);
+	case MESH_ABSENT: return mesh_handle_absent(a);
 	case MESH_FETCH:
-	case MESH_BEAT: return 0;
+	case MESH_HEARTBEAT: return 0;
 	case MESH_LEAVING:
 	case MESH_SUSPECT:
 	case MESH_LIMITS:
 	case MESH_ROLLOUT: break;
 	}
-	return mesh_take_topic(in->from, a);
+	return mesh_handle_topic(in->from, a);
 }
 
 int mesh_dispatch(struct mesh_in *in, const char *p, size_t n)
@@ -200,7 +203,7 @@
 	msgpack_unpacked_init(&u);
 	if (msgpack_unpack_next(&u, p, n, &off) == MSGPACK_UNPACK_SUCCESS &&
 	    u.data.type == MSGPACK_OBJECT_ARRAY && u.data.via.array.size)
-		rc = take(in, &u.data.via.array);
+		rc = handle_frame(in, &u.data.via.array);
 	msgpack_unpacked_destroy(&u);
 	return rc;
 }
--- a/src/fleet/mesh_link.c
+++ b/src/fleet/mesh_link.c
@@ -1,4 +1,4 @@
-/* Links to the other instances: made anew when they break, and only written to. */
+/* Outgoing links to the other instances: opened again when they break, and only written to. */
 #include "clock.h"
 #include "jlog.h"
 #include "mesh_impl.h"
@@ -8,11 +8,11 @@
 #include <errno.h>
 #include <stddef.h>
 
-/* Between two tries to connect: one a heartbeat, as an opening packet to an instance that
- * starts is lost for a second. */
+/* Microseconds between attempts to connect: one per heartbeat, as it takes a second until a
+ * lost opening packet to a starting instance is sent again. */
 #define RECONNECT_US 350000
-/* Bytes that wait for an instance that does not read: some ten seconds of what it is told, and
- * old loads are of no use. */
+/* Bytes queued for an instance that does not read: about ten seconds of messages. Older loads
+ * are useless. */
 #define LINK_MAX (256u << 10)
 
 static void on_link_end(struct cn *c, int err)
@@ -25,7 +25,7 @@
 
 static void on_link_data(struct cn *c, const char *p, size_t n)
 {
-	(void)c; /* nothing is said this way */
+	(void)c; /* the other side sends nothing here */
 	(void)p;
 	(void)n;
 }
@@ -36,19 +36,20 @@
 	GString *out = g_string_new(NULL);
 
 	m->link_up_us = clock_us();
-	/* It answers nothing before all that may have been lost has been told again. */
-	mesh_write_own_beat(out, m, 0);
-	mesh_write_peers(out, !mesh_tells(m));
+	/* The first heartbeat echoes nothing: m's heartbeats are acknowledged only after the
+	 * state that may have been lost has been sent again. */
+	mesh_write_own_heartbeat(out, m, 0);
+	mesh_write_peers(out, !mesh_informs(m));
 	mesh_write_absent(out);
-	/* Before the verdicts: with them one that starts has all that it waits for. */
+	/* Orders precede verdicts, which complete what a starting instance waits for. */
 	mesh_write_orders(out);
 	mesh_write_topics(out);
 	mesh_write_verdicts(out);
-	if (!m->heard_us || m->said.serves) {
+	if (!m->last_seen_us || m->hb.serving) {
 		poison_write_told(out);
 		mesh_write_all_loads(out);
 	}
-	mesh_write_own_beat(out, m, 1);
+	mesh_write_own_heartbeat(out, m, 1);
 	cn_write(c, out->str, out->len);
 	g_string_free(out, TRUE);
 }
@@ -65,12 +66,12 @@
 	cn_connect(&m->link, &to);
 }
 
-/* An answer is up to a heartbeat older than its sender's last word. */
-int mesh_link_is_silent(const struct member *m, int every, int64_t now)
+/* An echo can be one heartbeat older than the sender's last heartbeat. */
+int mesh_link_is_silent(const struct member *m, int interval, int64_t now)
 {
-	int64_t since_us = MAX(MAX(m->link_up_us, m->echoed_us), mesh_stood_still_us());
+	int64_t since_us = MAX(MAX(m->link_up_us, m->acked_us), mesh_resumed_us());
 
-	return now - since_us >= every * (MESH_DEAD_US + MESH_BEAT_US);
+	return now - since_us >= interval * (MESH_DEAD_US + MESH_HEARTBEAT_US);
 }
 
 static void log_renewed(const struct member *m, const char *why)
@@ -78,19 +79,19 @@
 	int64_t now = clock_us();
 	GString *g = jlog_begin("fleet", "link_renewed");
 
-	jlog_str(g, "member", m->said.name);
+	jlog_str(g, "member", m->hb.name);
 	jlog_str(g, "ip", m->ip);
 	jlog_str(g, "why", why);
-	jlog_int(g, "heard_ms", (now - m->heard_us) / 1000);
-	jlog_int(g, "answered_ms", (now - m->echoed_us) / 1000);
+	jlog_int(g, "heard_ms", (now - m->last_seen_us) / 1000);
+	jlog_int(g, "answered_ms", (now - m->acked_us) / 1000);
 	jlog_end(g);
 }
 
 void mesh_renew_link(struct member *m, const char *why)
 {
 	met_add(MET_PEER_RENEWED, 1);
-	/* Once for each time that it worked: a dead one is tried again and again. */
-	if (m->echoed_us >= m->link_up_us) log_renewed(m, why);
+	/* Once per link that worked: a dead one is opened again and again. */
+	if (m->acked_us >= m->link_up_us) log_renewed(m, why);
 	cn_reset(&m->link);
 	mesh_connect(m);
 }
@@ -115,18 +116,18 @@
 	for (i = 0; i < mesh_members()->len; i++) {
 		struct member *m = g_ptr_array_index(mesh_members(), i);
 
-		if (m->said.serves) mesh_send(m, frame);
+		if (m->hb.serving) mesh_send(m, frame);
 	}
 }
 
-void mesh_send_judges(const GString *frame)
+void mesh_send_serving_and_hubs(const GString *frame)
 {
 	uint32_t i;
 
 	for (i = 0; i < mesh_members()->len; i++) {
 		struct member *m = g_ptr_array_index(mesh_members(), i);
 
-		if (m->said.serves || m->hub) mesh_send(m, frame);
+		if (m->hb.serving || m->hub) mesh_send(m, frame);
 	}
 }
 
--- a/src/fleet/mesh_loads.c
+++ b/src/fleet/mesh_loads.c
@@ -1,20 +1,20 @@
-/* Each instance tells those that callers come to what it has sent to which backend server, as
- * whole figures: a lost or repeated message does no harm. */
+/* Each instance sends the serving instances its load on every backend server, as absolute
+ * values, so that a lost or repeated message does no harm. */
 #include "clock.h"
 #include "ev.h"
 #include "mesh_impl.h"
 #include "met.h"
 #include <string.h>
 
-/* Changes wait so long for others: an engine that looks free is chosen by many. */
-#define TELL_US 1000
+/* Delay that batches changes; short, because an engine that looks free is chosen by many. */
+#define SEND_DELAY_US 1000
 #define ROWS_MAX 256 /* of one message */
 
-static struct ev_timer teller;
-static GPtrArray *changed;    /* servers whose own load others have not been told */
-static unsigned told_entries; /* loads that members told, all together */
+static struct ev_timer send_timer;
+static GPtrArray *changed;       /* servers whose changed load has not been sent */
+static unsigned peer_load_count; /* loads reported by all members together */
 
-static void add(struct be_load *a, const struct be_load *b)
+static void add_load(struct be_load *a, const struct be_load *b)
 {
 	a->runs += b->runs;
 	a->unread += b->unread;
@@ -25,7 +25,7 @@
 	a->inbound += b->inbound;
 }
 
-static void take_off(struct be_load *a, const struct be_load *b)
+static void subtract_load(struct be_load *a, const struct be_load *b)
 {
 	a->runs -= b->runs;
 	a->unread -= b->unread;
@@ -36,96 +36,96 @@
 	a->inbound -= b->inbound;
 }
 
-/* What a member told of one life of a backend server. It is counted at that life alone, and
- * waits until this instance has its entry. */
-struct told_load {
-	int64_t born_ms;
+/* Load that a member reported for one incarnation of a backend server. It is added to that
+ * incarnation only, and waits until this instance has its entry. */
+struct peer_load {
+	int64_t incarnation_ms;
 	struct be_load load;
-	struct be *at; /* where it is counted; NULL: nowhere yet */
+	struct be *backend; /* the server that it is added to; NULL: none yet */
 };
 
-struct told_ends {
-	int64_t born_ms;
-	struct be_ends ends;
+struct peer_outcomes {
+	int64_t incarnation_ms;
+	struct be_ends outcomes;
 };
 
-static void uncount(struct told_load *t)
+static void detach_load(struct peer_load *t)
 {
-	if (!t->at) return;
-	take_off(&t->at->others, &t->load);
-	be_unref(t->at);
-	t->at = NULL;
+	if (!t->backend) return;
+	subtract_load(&t->backend->others, &t->load);
+	be_unref(t->backend);
+	t->backend = NULL;
 }
 
-static void count_at(struct told_load *t, struct be *b)
+static void attach_load(struct peer_load *t, struct be *b)
 {
-	if (!b || t->at || !be_is_life(b, t->born_ms)) return;
-	t->at = be_ref(b);
-	add(&b->others, &t->load);
+	if (!b || t->backend || !be_is_life(b, t->incarnation_ms)) return;
+	t->backend = be_ref(b);
+	add_load(&b->others, &t->load);
 }
 
-static void free_told(gpointer p)
+static void free_peer_load(gpointer p)
 {
-	told_entries--;
-	uncount(p);
+	peer_load_count--;
+	detach_load(p);
 	g_free(p);
 }
 
 void mesh_init_loads(struct member *m)
 {
-	m->loads = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_told);
-	m->ends = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	m->loads = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_peer_load);
+	m->outcomes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* Ends are counted from an instance's start, and for each life of a server: fewer than before
- * tell that it started anew. */
-static void hear_ends(struct member *m, struct be *b, const struct mesh_row *r)
+/* Outcomes are counted since the sender's start and for each incarnation of a server: lower
+ * counts than before show that the sender restarted. */
+static void apply_outcomes(struct member *m, struct be *b, const struct mesh_load_row *r)
 {
-	struct told_ends *old = g_hash_table_lookup(m->ends, r->id);
-	struct be_ends since = r->ends;
+	struct peer_outcomes *prev = g_hash_table_lookup(m->outcomes, r->id);
+	struct be_ends delta = r->outcomes;
 
-	if (!old) {
-		old = g_new0(struct told_ends, 1);
-		g_hash_table_insert(m->ends, g_strdup(r->id), old);
+	if (!prev) {
+		prev = g_new0(struct peer_outcomes, 1);
+		g_hash_table_insert(m->outcomes, g_strdup(r->id), prev);
 	}
-	if (old->born_ms == r->born_ms && since.good >= old->ends.good &&
-	    since.bad >= old->ends.bad) {
-		since.good -= old->ends.good;
-		since.bad -= old->ends.bad;
+	if (prev->incarnation_ms == r->incarnation_ms && delta.good >= prev->outcomes.good &&
+	    delta.bad >= prev->outcomes.bad) {
+		delta.good -= prev->outcomes.good;
+		delta.bad -= prev->outcomes.bad;
 	}
-	old->born_ms = r->born_ms;
-	old->ends = r->ends;
-	be_heard(b, g_str_hash(m->ip) | 1, since);
+	prev->incarnation_ms = r->incarnation_ms;
+	prev->outcomes = r->outcomes;
+	be_heard(b, g_str_hash(m->ip) | 1, delta);
 }
 
-static void set_row(struct member *m, const struct mesh_row *r)
+static void apply_row(struct member *m, const struct mesh_load_row *r)
 {
-	struct told_load *t = g_hash_table_lookup(m->loads, r->id);
+	struct peer_load *t = g_hash_table_lookup(m->loads, r->id);
 	struct be *b = be_find(r->id);
 
-	if (t && r->born_ms < t->born_ms) return;
+	if (t && r->incarnation_ms < t->incarnation_ms) return;
 	if (!t) {
-		t = g_new0(struct told_load, 1);
-		told_entries++;
+		t = g_new0(struct peer_load, 1);
+		peer_load_count++;
 		g_hash_table_insert(m->loads, g_strdup(r->id), t);
 	}
-	uncount(t);
-	t->born_ms = r->born_ms;
+	detach_load(t);
+	t->incarnation_ms = r->incarnation_ms;
 	t->load = r->load;
-	count_at(t, b);
-	if (t->at) hear_ends(m, b, r);
+	attach_load(t, b);
+	if (t->backend) apply_outcomes(m, b, r);
 }
 
-/* Others may have told of its load before its entry came here. */
-static void on_new(struct be *b)
+/* Members may have reported loads of the server before its entry arrived. */
+static void on_backend_listed(struct be *b)
 {
 	uint32_t i;
 
-	for (i = 0; told_entries && i < mesh_members()->len; i++) {
+	for (i = 0; peer_load_count && i < mesh_members()->len; i++) {
 		struct member *m = g_ptr_array_index(mesh_members(), i);
-		struct told_load *t = g_hash_table_lookup(m->loads, b->id);
+		struct peer_load *t = g_hash_table_lookup(m->loads, b->id);
 
-		if (t) count_at(t, b);
+		if (t) attach_load(t, b);
 	}
 }
 
@@ -134,26 +134,26 @@
 	g_hash_table_remove_all(m->loads);
 }
 
-void mesh_take_loads(struct member *m, const msgpack_object_array *a)
+void mesh_handle_loads(struct member *m, const msgpack_object_array *a)
 {
-	struct mesh_row r;
+	struct mesh_load_row r;
 	uint32_t k;
 
 	if (a->size < 2) return;
 	if (mesh_int(&a->ptr[1])) mesh_drop_loads(m);
 	for (k = 2; k < a->size; k++)
-		if (!mesh_read_row(&a->ptr[k], &r)) set_row(m, &r);
+		if (!mesh_read_load_row(&a->ptr[k], &r)) apply_row(m, &r);
 }
 
-static void fill_row(struct mesh_row *row, const struct be *b)
+static void fill_row(struct mesh_load_row *row, const struct be *b)
 {
 	g_strlcpy(row->id, b->id, sizeof row->id);
-	row->born_ms = b->born_ms;
-	row->ends = b->ends;
+	row->incarnation_ms = b->born_ms;
+	row->outcomes = b->ends;
 	row->load = b->own;
 }
 
-static int collect_in_use(struct mesh_row *row)
+static int collect_in_use(struct mesh_load_row *row)
 {
 	GPtrArray *used = be_in_use();
 	uint32_t i;
@@ -164,7 +164,7 @@
 	return (int)i;
 }
 
-static int collect_changed(struct mesh_row *row)
+static int collect_changed(struct mesh_load_row *row)
 {
 	int n = 0;
 
@@ -180,7 +180,7 @@
 
 static void write_rows(GString *out, int whole)
 {
-	struct mesh_row *row = g_new(struct mesh_row, ROWS_MAX);
+	struct mesh_load_row *row = g_new(struct mesh_load_row, ROWS_MAX);
 	int n = whole ? collect_in_use(row) : collect_changed(row);
 
 	if (n || whole) mesh_write_loads(out, row, n, whole);
@@ -192,61 +192,62 @@
 	write_rows(out, 1);
 }
 
-/* All instances work out the same order for a backend server, another one for each. */
-static uint32_t turn_of(const char *instance, const struct be *b)
+/* All instances compute the same order for a backend server; it differs from server to
+ * server. */
+static uint32_t order_of(const char *instance, const struct be *b)
 {
 	char *text = g_strconcat(b->id, "/", instance, NULL);
-	uint32_t turn = g_str_hash(text);
+	uint32_t order = g_str_hash(text);
 
 	g_free(text);
-	return turn;
+	return order;
 }
 
-/* What m has told of b, or NULL; most instances of a large fleet tell nothing. */
-static const struct be_load *load_on(const struct member *m, const struct be *b)
+/* Load that m reported on b, or NULL; most instances of a large fleet report none. */
+static const struct be_load *peer_load_on(const struct member *m, const struct be *b)
 {
-	const struct told_load *t;
+	const struct peer_load *t;
 
 	if (!m->alive || !g_hash_table_size(m->loads)) return NULL;
 	t = g_hash_table_lookup(m->loads, b->id);
-	return t && t->at == b ? &t->load : NULL;
+	return t && t->backend == b ? &t->load : NULL;
 }
 
-uint32_t mesh_bare_before(const struct be *b)
+uint32_t mesh_unreplicated_before(const struct be *b)
 {
-	uint32_t i, sum = 0, mine = turn_of(mesh_cfg()->instance, b);
+	uint32_t i, sum = 0, mine = order_of(mesh_cfg()->instance, b);
 
 	for (i = 0; i < mesh_members()->len; i++) {
 		struct member *m = g_ptr_array_index(mesh_members(), i);
-		const struct be_load *l = load_on(m, b);
+		const struct be_load *l = peer_load_on(m, b);
 
-		if (l && turn_of(m->said.name, b) < mine) sum += l->bare;
+		if (l && order_of(m->hb.name, b) < mine) sum += l->bare;
 	}
 	return sum;
 }
 
-int mesh_first_user(const struct be *b)
+int mesh_is_first_user(const struct be *b)
 {
-	uint32_t i, mine = turn_of(mesh_cfg()->instance, b);
+	uint32_t i, mine = order_of(mesh_cfg()->instance, b);
 
 	for (i = 0; i < mesh_members()->len; i++) {
 		struct member *m = g_ptr_array_index(mesh_members(), i);
-		const struct be_load *l = load_on(m, b);
+		const struct be_load *l = peer_load_on(m, b);
 
 		if (!l || !l->used) continue;
-		if (turn_of(m->said.name, b) < mine) return 0;
+		if (order_of(m->hb.name, b) < mine) return 0;
 	}
 	return 1;
 }
 
-static void on_tell(struct ev_timer *t)
+static void on_send_timer(struct ev_timer *t)
 {
 	GString *out = g_string_new(NULL);
 
 	write_rows(out, 0);
 	if (out->len) mesh_send_serving(out);
 	g_string_free(out, TRUE);
-	if (changed->len) ev_in(t, TELL_US);
+	if (changed->len) ev_in(t, SEND_DELAY_US);
 }
 
 void mesh_load_changed(struct be *b)
@@ -254,18 +255,18 @@
 	if (!b->dirty) g_ptr_array_add(changed, be_ref(b));
 	b->dirty = 1;
 	be_note_use(b);
-	mesh_note_load();
-	if (!teller.armed) ev_in(&teller, TELL_US);
+	mesh_mark_serving();
+	if (!send_timer.armed) ev_in(&send_timer, SEND_DELAY_US);
 }
 
-static void unref(gpointer b)
+static void unref_backend(gpointer b)
 {
 	be_unref(b);
 }
 
 void mesh_loads_start(void)
 {
-	changed = g_ptr_array_new_with_free_func(unref);
-	teller.fire = on_tell;
-	be_on_new = on_new;
+	changed = g_ptr_array_new_with_free_func(unref_backend);
+	send_timer.fire = on_send_timer;
+	be_on_new = on_backend_listed;
 }
--- a/src/fleet/mesh_orders.c
+++ b/src/fleet/mesh_orders.c
@@ -1,18 +1,18 @@
-/* Operators' orders, as instances tell each other: all that is known at once, as the keys are
- * few; and entries of servers that were found changed. The newest word on each counts, so that
- * it may come twice, or late. */
+/* Exchange of operators' orders, all at once as there are few keys, and of entries of servers
+ * that were found changed. The newest revision of each key counts, so that a frame may arrive
+ * twice or late. */
 #include "dialect.h"
 #include "mesh_impl.h"
 #include <errno.h>
 #include <string.h>
 
-static void count(const struct st_item *i, void *n)
+static void count_item(const struct st_item *i, void *n)
 {
 	(void)i;
 	(*(int *)n)++;
 }
 
-static void pack(const struct st_item *i, void *p)
+static void pack_item(const struct st_item *i, void *p)
 {
 	mesh_pack_item(p, i);
 }
@@ -23,14 +23,14 @@
 	msgpack_packer *p;
 	int n = 0;
 
-	board_each_order(count, &n);
+	board_each_order(count_item, &n);
 	if (!n) return;
 	p = mesh_frame_begin(&f, MESH_ORDERS, 1 + n);
-	board_each_order(pack, p);
+	board_each_order(pack_item, p);
 	mesh_frame_end(&f, out);
 }
 
-int mesh_take_orders(const struct member *m, const msgpack_object_array *a)
+int mesh_handle_orders(const struct member *m, const msgpack_object_array *a)
 {
 	char key[BOARD_KEY_MAX + 1];
 	struct st_item i;
@@ -38,24 +38,25 @@
 
 	for (k = 1; k < a->size; k++) {
 		if (mesh_read_item(&a->ptr[k], &i, key, sizeof key)) return -EBADMSG;
-		if (!board_apply(&i, m->said.name) || dl_item_kind(key) != DL_BACKEND) continue;
+		if (!board_apply(&i, m->hb.name) || dl_item_kind(key) != DL_BACKEND) continue;
 		mesh_forward_item(&i);
 	}
 	return 0;
 }
 
-void mesh_heal_orders(struct member *m)
+void mesh_sync_orders(struct member *m)
 {
 	GString *out;
 
-	if (m->said.orders == board_orders_digest()) return;
+	if (m->hb.orders == board_orders_digest()) return;
 	out = g_string_new(NULL);
 	mesh_write_orders(out);
 	if (out->len) mesh_send(m, out);
 	g_string_free(out, TRUE);
 }
 
-/* Whoever has it from the store tells all; the rest heal each other by heartbeats. */
+/* The instance that gets an order from the store sends it to all; the others synchronize by the
+ * digests in heartbeats. */
 static void on_order(const char *from)
 {
 	GString *out;
--- a/src/fleet/mesh_part.c
+++ b/src/fleet/mesh_part.c
@@ -1,5 +1,5 @@
-/* This instance's part of what all may do together: by all instances that it has known in this
- * life, as those that it does not hear may go on using theirs. */
+/* This instance's part of what all instances may do together. It is computed from all instances
+ * known since the start, as those that are out of reach may still use their parts. */
 #include "clock.h"
 #include "mesh_impl.h"
 #include <arpa/inet.h>
@@ -7,26 +7,26 @@
 #include <saddlehead/part.h>
 #include <string.h>
 
-/* An instance that nobody has told of for so long has left for good. */
+/* Microseconds: an instance not reported within this time has left. */
 #define FORGET_US 600000000
-#define LOOK_US 60000000 /* how often that is looked at */
-#define WAIT_US 50000    /* how often one that has no part yet looks for it */
-#define KNOWN_MAX 4096   /* instances: no fleet is so large */
-#define ABSENT_FIELDS 3  /* of each: address, link, microseconds since it was told of */
+#define CHECK_US 60000000 /* between checks for these */
+#define RETRY_US 50000    /* between computations while there is no part yet */
+#define KNOWN_MAX 4096    /* more than any fleet has */
+#define ABSENT_FIELDS 3   /* of each: address, link, microseconds since it was reported */
 
 struct known {
-	int link_mbps;   /* 0: not told */
-	int64_t told_us; /* by itself or others, the last time */
-	int heard;       /* here, or by whoever told that it is absent; not named alone */
+	int link_mbps;       /* 0: not reported */
+	int64_t reported_us; /* by itself or others, last */
+	int seen; /* by this instance, or by one that reports it absent; not just named */
 };
 
 static GHashTable *known; /* address -> struct known */
-static struct part_life life;
+static struct part_life incarnation;
 static int stale = 1;
-static int64_t looked_us, waits_until_us;
+static int64_t checked_us, retry_at_us;
 static double part;
 
-static struct known *know(const char *ip, int link_mbps, int64_t told_us)
+static struct known *add_known(const char *ip, int link_mbps, int64_t reported_us)
 {
 	struct known *k = g_hash_table_lookup(known, ip);
 
@@ -36,36 +36,36 @@
 		g_hash_table_insert(known, g_strdup(ip), k);
 		stale = 1;
 	}
-	k->told_us = MAX(k->told_us, told_us);
+	k->reported_us = MAX(k->reported_us, reported_us);
 	if (!link_mbps || link_mbps == k->link_mbps) return k;
 	k->link_mbps = link_mbps;
 	stale = 1;
 	return k;
 }
 
-static void know_heard(const char *ip, int link_mbps, int64_t told_us)
+static void add_seen(const char *ip, int link_mbps, int64_t reported_us)
 {
-	struct known *k = know(ip, link_mbps, told_us);
+	struct known *k = add_known(ip, link_mbps, reported_us);
 
-	if (k) k->heard = 1;
+	if (k) k->seen = 1;
 }
 
-void mesh_part_know(const struct member *m)
+void mesh_part_add(const struct member *m)
 {
-	know(m->ip, m->link_mbps, clock_us());
+	add_known(m->ip, m->link_mbps, clock_us());
 }
 
-void mesh_part_heard(const struct member *m)
+void mesh_part_seen(const struct member *m)
 {
-	life.heard = 1;
-	know_heard(m->ip, m->link_mbps, clock_us());
+	incarnation.heard = 1;
+	add_seen(m->ip, m->link_mbps, clock_us());
 }
 
 static int is_absent(const char *ip, const struct known *k)
 {
-	const struct member *m = mesh_member_known(ip);
+	const struct member *m = mesh_member_find(ip);
 
-	return k->heard && (!m || !m->alive);
+	return k->seen && (!m || !m->alive);
 }
 
 static int count_absent(void)
@@ -79,7 +79,8 @@
 	return n;
 }
 
-/* Hubs tell, who hear all that live: one that stands by hears only hubs. */
+/* Only hubs send these, as they receive heartbeats of all live instances: a standby instance
+ * receives only those of hubs. */
 void mesh_write_absent(GString *out)
 {
 	int n = mesh_self_hub() ? count_absent() : 0;
@@ -98,7 +99,7 @@
 		if (!is_absent(ip, k)) continue;
 		mesh_pack_text(p, ip);
 		msgpack_pack_int(p, k->link_mbps);
-		msgpack_pack_int64(p, now - k->told_us);
+		msgpack_pack_int64(p, now - k->reported_us);
 	}
 	mesh_frame_end(&f, out);
 }
@@ -110,7 +111,7 @@
 	return strcmp(ip, mesh_cfg()->ip) != 0 && inet_pton(AF_INET, ip, &a) == 1;
 }
 
-int mesh_take_absent(const msgpack_object_array *a)
+int mesh_handle_absent(const msgpack_object_array *a)
 {
 	char ip[ENTRY_TEXT_MAX + 1];
 	struct member *m;
@@ -121,26 +122,26 @@
 
 		if (mesh_text(&a->ptr[i], ip, sizeof ip)) return -EBADMSG;
 		if (!is_another(ip) || silent_us < 0 || silent_us > FORGET_US) continue;
-		know_heard(ip, mesh_mbps(&a->ptr[i + 1]), clock_us() - silent_us);
-		m = mesh_member_known(ip);
-		if (m) mesh_told_silent(m, silent_us);
+		add_seen(ip, mesh_mbps(&a->ptr[i + 1]), clock_us() - silent_us);
+		m = mesh_member_find(ip);
+		if (m) mesh_reported_silent(m, silent_us);
 	}
 	return 0;
 }
 
-static gboolean has_left(gpointer ip, gpointer value, gpointer now)
+static gboolean is_expired(gpointer ip, gpointer value, gpointer now)
 {
 	const struct known *k = value;
 
 	(void)ip;
-	return *(int64_t *)now - k->told_us > FORGET_US;
+	return *(int64_t *)now - k->reported_us > FORGET_US;
 }
 
-static void forget(int64_t now)
+static void forget_expired(int64_t now)
 {
-	if (now - looked_us < LOOK_US) return;
-	looked_us = now;
-	if (g_hash_table_foreach_remove(known, has_left, &now)) stale = 1;
+	if (now - checked_us < CHECK_US) return;
+	checked_us = now;
+	if (g_hash_table_foreach_remove(known, is_expired, &now)) stale = 1;
 }
 
 static GArray *all_known(void)
@@ -163,10 +164,11 @@
 	return peers;
 }
 
-/* When somebody becomes known, and while time alone may end the wait for it. */
-static int is_to_be_worked_out(int64_t now)
+/* Whether an instance became known, or the passing of time alone may end the wait for a
+ * part. */
+static int needs_update(int64_t now)
 {
-	return stale || (part <= 0 && now >= waits_until_us);
+	return stale || (part <= 0 && now >= retry_at_us);
 }
 
 double mesh_part(int64_t window_us)
@@ -174,21 +176,21 @@
 	int64_t now = clock_us();
 	GArray *peers;
 
-	forget(now);
-	if (!is_to_be_worked_out(now)) return part;
+	forget_expired(now);
+	if (!needs_update(now)) return part;
 	peers = all_known();
-	part = part_mine(&life, (struct roles_peer *)(void *)peers->data, (int)peers->len,
-			 window_us, now);
+	part = part_mine(&incarnation, (struct roles_peer *)(void *)peers->data,
+			 (int)peers->len, window_us, now);
 	g_array_free(peers, TRUE);
 	stale = 0;
-	waits_until_us = now + WAIT_US;
+	retry_at_us = now + RETRY_US;
 	return part;
 }
 
 void mesh_part_start(void)
 {
 	known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	life.started_us = clock_us();
-	life.first_start = mesh_cfg()->first_start;
-	life.join_us = mesh_cfg()->join_us;
+	incarnation.started_us = clock_us();
+	incarnation.first_start = mesh_cfg()->first_start;
+	incarnation.join_us = mesh_cfg()->join_us;
 }
--- a/src/fleet/mesh_poison.c
+++ b/src/fleet/mesh_quarantine.c
@@ -1,12 +1,12 @@
-/* What instances tell each other of requests that end servers. */
-#include "mesh_poison.h"
+/* Exchange of crashes, runs and verdicts for requests under which servers crash. */
+#include "mesh_quarantine.h"
 #include "clock.h"
 #include "mesh_impl.h"
 #include <errno.h>
 #include <string.h>
 
-#define RUNS_MOST 512       /* of one server: more than it takes at once */
-#define AGO_MOST_MS 3600000 /* what is older is of no use to anybody */
+#define RUNS_MAX 512       /* of one server: more than it runs at once */
+#define AGE_MAX_MS 3600000 /* reports are of no use after that */
 
 static void pack_fp(msgpack_packer *p, const struct fp *fp)
 {
@@ -22,9 +22,9 @@
 	return 0;
 }
 
-static int64_t read_ago_us(const msgpack_object *o)
+static int64_t read_age_us(const msgpack_object *o)
 {
-	return CLAMP(mesh_int(o), 0, AGO_MOST_MS) * 1000;
+	return CLAMP(mesh_int(o), 0, AGE_MAX_MS) * 1000;
 }
 
 static uint32_t read_count(const msgpack_object *o)
@@ -37,13 +37,14 @@
 	return mesh_cfg()->instance;
 }
 
-/* ---- ends ---- */
+/* ---- crashes ---- */
 
-void mesh_write_end(GString *out, const struct poison_told_end *e, const struct poison_run *run)
+void mesh_write_crash(GString *out, const struct poison_told_end *e,
+		      const struct poison_run *run)
 {
-	int i, n = MIN(e->n, RUNS_MOST);
+	int i, n = MIN(e->n, RUNS_MAX);
 	struct mesh_frame f;
-	msgpack_packer *p = mesh_frame_begin(&f, MESH_ENDED, 4 + 2 * n);
+	msgpack_packer *p = mesh_frame_begin(&f, MESH_CRASH, 4 + 2 * n);
 
 	mesh_pack_text(p, e->server);
 	msgpack_pack_int64(p, e->life);
@@ -61,11 +62,11 @@
 	g_string_free(out, TRUE);
 }
 
-void mesh_tell_end(const struct poison_told_end *e, const struct poison_run *run)
+void mesh_send_crash(const struct poison_told_end *e, const struct poison_run *run)
 {
 	GString *out = g_string_new(NULL);
 
-	mesh_write_end(out, e, run);
+	mesh_write_crash(out, e, run);
 	send_serving(out);
 }
 
@@ -75,12 +76,12 @@
 
 	for (i = 0; i < n; i++) {
 		if (read_fp(&a->ptr[4 + 2 * i], &run[i].fp)) return -EBADMSG;
-		run[i].ran_us = read_ago_us(&a->ptr[5 + 2 * i]);
+		run[i].ran_us = read_age_us(&a->ptr[5 + 2 * i]);
 	}
 	return 0;
 }
 
-static int take_end(const struct member *m, const msgpack_object_array *a)
+static int handle_crash(const struct member *m, const msgpack_object_array *a)
 {
 	struct poison_told_end e;
 	struct poison_run *run;
@@ -88,16 +89,16 @@
 
 	if (a->size < 4 || mesh_text(&a->ptr[1], e.server, sizeof e.server)) return -EBADMSG;
 	e.life = mesh_int(&a->ptr[2]);
-	e.ago_us = read_ago_us(&a->ptr[3]);
-	e.n = MIN((int)(a->size - 4) / 2, RUNS_MOST);
+	e.ago_us = read_age_us(&a->ptr[3]);
+	e.n = MIN((int)(a->size - 4) / 2, RUNS_MAX);
 	run = g_new(struct poison_run, MAX(e.n, 1));
 	rc = read_runs(a, run, e.n);
-	if (!rc) poison_hear_end(m->said.name, &e, run);
+	if (!rc) poison_hear_end(m->hb.name, &e, run);
 	g_free(run);
 	return rc;
 }
 
-/* ---- runs that came through, or are under way ---- */
+/* ---- runs that succeeded or are in flight ---- */
 
 static void write_run(GString *out, enum mesh_type type, const struct fp *fp, int64_t value)
 {
@@ -109,41 +110,41 @@
 	mesh_frame_end(&f, out);
 }
 
-void mesh_write_through(GString *out, const struct fp *fp, int64_t ago_us)
+void mesh_write_succeeded(GString *out, const struct fp *fp, int64_t ago_us)
 {
-	write_run(out, MESH_THROUGH, fp, ago_us / 1000);
+	write_run(out, MESH_SUCCEEDED, fp, ago_us / 1000);
 }
 
-void mesh_write_under_way(GString *out, const struct fp *fp, uint32_t n)
+void mesh_write_in_flight(GString *out, const struct fp *fp, uint32_t n)
 {
-	write_run(out, MESH_UNDER_WAY, fp, n);
+	write_run(out, MESH_IN_FLIGHT, fp, n);
 }
 
-void mesh_tell_through(const struct fp *fp, int64_t ago_us)
+void mesh_send_succeeded(const struct fp *fp, int64_t ago_us)
 {
 	GString *out = g_string_new(NULL);
 
-	mesh_write_through(out, fp, ago_us);
+	mesh_write_succeeded(out, fp, ago_us);
 	send_serving(out);
 }
 
-void mesh_tell_under_way(const struct fp *fp, uint32_t n)
+void mesh_send_in_flight(const struct fp *fp, uint32_t n)
 {
 	GString *out = g_string_new(NULL);
 
-	mesh_write_under_way(out, fp, n);
+	mesh_write_in_flight(out, fp, n);
 	send_serving(out);
 }
 
-static int take_run(const struct member *m, const msgpack_object_array *a)
+static int handle_run(const struct member *m, const msgpack_object_array *a)
 {
 	struct fp fp;
 
 	if (a->size < 3 || read_fp(&a->ptr[1], &fp)) return -EBADMSG;
-	if (mesh_int(&a->ptr[0]) == MESH_THROUGH)
-		poison_hear_through(&fp, read_ago_us(&a->ptr[2]));
+	if (mesh_int(&a->ptr[0]) == MESH_SUCCEEDED)
+		poison_hear_through(&fp, read_age_us(&a->ptr[2]));
 	else
-		poison_hear_under_way(m->said.name, &fp, read_count(&a->ptr[2]));
+		poison_hear_under_way(m->hb.name, &fp, read_count(&a->ptr[2]));
 	return 0;
 }
 
@@ -167,7 +168,7 @@
 	(*(int *)n)++;
 }
 
-void mesh_tell_verdict(const struct quar_suspect *s)
+void mesh_send_verdict(const struct quar_suspect *s)
 {
 	GString *out = g_string_new(NULL);
 	struct mesh_frame f;
@@ -188,12 +189,12 @@
 
 	poison_each_verdict(count_verdict, &n);
 	p = mesh_frame_begin(&f, MESH_VERDICTS, 2 + VERDICT_FIELDS * n);
-	msgpack_pack_int(p, poison_known() ? MESH_ALL_KNOWN : MESH_ALL);
+	msgpack_pack_int(p, poison_known() ? MESH_VERDICTS_SYNCED : MESH_VERDICTS_ALL);
 	poison_each_verdict(pack_verdict, p);
 	mesh_frame_end(&f, out);
 }
 
-static int take_verdicts(const struct member *m, const msgpack_object_array *a)
+static int handle_verdicts(const struct member *m, const msgpack_object_array *a)
 {
 	int64_t all = a->size > 1 ? mesh_int(&a->ptr[1]) : 0;
 	struct fp fp;
@@ -201,29 +202,29 @@
 
 	for (k = 2; k + VERDICT_FIELDS <= a->size; k += VERDICT_FIELDS) {
 		if (read_fp(&a->ptr[k], &fp)) return -EBADMSG;
-		poison_hear_verdict(m->said.name, &fp, read_count(&a->ptr[k + 1]),
-				    read_count(&a->ptr[k + 2]), read_ago_us(&a->ptr[k + 3]));
+		poison_hear_verdict(m->hb.name, &fp, read_count(&a->ptr[k + 1]),
+				    read_count(&a->ptr[k + 2]), read_age_us(&a->ptr[k + 3]));
 	}
-	if (all) poison_heard_all(all == MESH_ALL_KNOWN);
+	if (all) poison_heard_all(all == MESH_VERDICTS_SYNCED);
 	return 0;
 }
 
-int mesh_take_poison(const struct member *m, const msgpack_object_array *a)
+int mesh_handle_quarantine(const struct member *m, const msgpack_object_array *a)
 {
 	switch ((enum mesh_type)mesh_int(&a->ptr[0])) {
-	case MESH_ENDED: return take_end(m, a);
-	case MESH_THROUGH:
-	case MESH_UNDER_WAY: return take_run(m, a);
-	case MESH_VERDICTS: return take_verdicts(m, a);
+	case MESH_CRASH: return handle_crash(m, a);
+	case MESH_SUCCEEDED:
+	case MESH_IN_FLIGHT: return handle_run(m, a);
+	case MESH_VERDICTS: return handle_verdicts(m, a);
 	default: return 0;
 	}
 }
 
-void mesh_heal_verdicts(struct member *m)
+void mesh_sync_verdicts(struct member *m)
 {
 	GString *out;
 
-	if (m->said.verdicts == poison_digest()) return;
+	if (m->hb.verdicts == poison_digest()) return;
 	out = g_string_new(NULL);
 	mesh_write_verdicts(out);
 	mesh_send(m, out);
--- a/src/fleet/mesh_rank.c
+++ b/src/fleet/mesh_rank.c
@@ -1,16 +1,17 @@
-/* An order of the instances that callers come to, another one for each backend server: all work
- * it out alike. */
+/* An order of the instances that receive caller traffic, different for each backend server: all
+ * instances compute the same one. */
 #include "clock.h"
 #include "mesh_impl.h"
 #include <saddlehead/roles.h>
 
-/* Until others are heard, there may be as many of them as there can be. */
+/* Until heartbeats of the others have arrived, the largest possible number of them is assumed.
+ */
 #define SETTLE_US 1500000
-#define MULTIPLIER 2654435761u /* odd, with bits all over */
+#define MULTIPLIER 2654435761u /* odd, with bits spread over the whole word */
 
 static int64_t started_us;
 
-/* Looked at for each cold server of each choice: no text is put together. */
+/* Called for each cold server at each choice: builds no string. */
 static uint32_t order_of(const char *ip, uint32_t server)
 {
 	uint32_t x = (g_str_hash(ip) ^ server) * MULTIPLIER;
@@ -18,8 +19,9 @@
 	return (x ^ x >> 15) * MULTIPLIER;
 }
 
-/* In a small fleet callers come to all, and whoever is not heard may still serve them. */
-static int shares(const struct member *m)
+/* In a small fleet all instances receive callers, and one whose heartbeats are missing may
+ * still serve them. */
+static int is_sharer(const struct member *m)
 {
 	return m->active || mesh_members()->len < ROLES_ACTIVE;
 }
@@ -32,7 +34,7 @@
 	for (i = 0; i < mesh_members()->len; i++) {
 		const struct member *m = g_ptr_array_index(mesh_members(), i);
 
-		if (!shares(m)) continue;
+		if (!is_sharer(m)) continue;
 		r.sharers++;
 		r.rank += order_of(m->ip, server) < mine;
 	}
--- a/src/fleet/mesh_read.c
+++ b/src/fleet/mesh_read.c
@@ -1,15 +1,15 @@
-/* What is in frames of other instances; more fields than are known here are left alone. */
+/* Parses frames of other instances. Fields that a later release appended are ignored. */
 #include "mesh_impl.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <string.h>
 
-#define LINK_MOST_MBPS 1000000 /* no machine has more; what is drawn by it stays a number */
+#define LINK_MAX_MBPS 1000000 /* more than any machine has; keeps random weights finite */
 
 int mesh_text(const msgpack_object *o, char *out, size_t max)
 {
 	if (o->type != MSGPACK_OBJECT_STR || o->via.str.size >= max) return -EBADMSG;
-	/* An empty one may have no bytes to point to. */
+	/* The pointer of an empty string may be NULL. */
 	if (o->via.str.size) memcpy(out, o->via.str.ptr, o->via.str.size);
 	out[o->via.str.size] = '\0';
 	return 0;
@@ -23,14 +23,14 @@
 
 int mesh_mbps(const msgpack_object *o)
 {
-	return (int)CLAMP(mesh_int(o), 0, LINK_MOST_MBPS);
+	return (int)CLAMP(mesh_int(o), 0, LINK_MAX_MBPS);
 }
 
-int mesh_read_beat(const msgpack_object_array *a, struct mesh_beat *b)
+int mesh_read_heartbeat(const msgpack_object_array *a, struct mesh_heartbeat *b)
 {
 	struct in_addr ip;
 
-	if (a->size < MESH_BEAT_FIELDS_MIN) return -EBADMSG;
+	if (a->size < MESH_HB_FIELDS_MIN) return -EBADMSG;
 	if (mesh_text(&a->ptr[1], b->name, sizeof b->name) || !b->name[0]) return -EBADMSG;
 	if (mesh_text(&a->ptr[2], b->ip, sizeof b->ip)) return -EBADMSG;
 	if (inet_pton(AF_INET, b->ip, &ip) != 1) return -EBADMSG;
@@ -45,23 +45,22 @@
 	b->echo_held_us = mesh_int(&a->ptr[11]);
 	b->store_up = mesh_int(&a->ptr[12]) != 0;
 	b->store_late = mesh_int(&a->ptr[13]) != 0;
-	b->link_mbps = a->size > MESH_BEAT_LINK ? mesh_mbps(&a->ptr[MESH_BEAT_LINK]) : 0;
-	b->serves = a->size > MESH_BEAT_SERVES ? mesh_int(&a->ptr[MESH_BEAT_SERVES]) != 0 : 1;
-	b->verdicts = b->orders = b->from = 0;
-	if (a->size > MESH_BEAT_VERDICTS)
-		b->verdicts = (uint64_t)mesh_int(&a->ptr[MESH_BEAT_VERDICTS]);
-	if (a->size > MESH_BEAT_ORDERS)
-		b->orders = (uint64_t)mesh_int(&a->ptr[MESH_BEAT_ORDERS]);
-	if (a->size > MESH_BEAT_FROM) b->from = (uint64_t)mesh_int(&a->ptr[MESH_BEAT_FROM]);
-	b->dc = a->size > MESH_BEAT_DC ? (uint32_t)mesh_int(&a->ptr[MESH_BEAT_DC]) : 0;
-	b->region =
-		a->size > MESH_BEAT_REGION ? (uint32_t)mesh_int(&a->ptr[MESH_BEAT_REGION]) : 0;
-	b->every = a->size > MESH_BEAT_EVERY ? (int)mesh_int(&a->ptr[MESH_BEAT_EVERY]) : 1;
-	b->every = CLAMP(b->every, 1, MESH_QUIET_BEATS);
+	b->link_mbps = a->size > MESH_HB_LINK ? mesh_mbps(&a->ptr[MESH_HB_LINK]) : 0;
+	b->serving = a->size > MESH_HB_SERVING ? mesh_int(&a->ptr[MESH_HB_SERVING]) != 0 : 1;
+	b->verdicts = b->orders = b->backends_from = 0;
+	if (a->size > MESH_HB_VERDICTS)
+		b->verdicts = (uint64_t)mesh_int(&a->ptr[MESH_HB_VERDICTS]);
+	if (a->size > MESH_HB_ORDERS) b->orders = (uint64_t)mesh_int(&a->ptr[MESH_HB_ORDERS]);
+	if (a->size > MESH_HB_BACKENDS_FROM)
+		b->backends_from = (uint64_t)mesh_int(&a->ptr[MESH_HB_BACKENDS_FROM]);
+	b->dc = a->size > MESH_HB_DC ? (uint32_t)mesh_int(&a->ptr[MESH_HB_DC]) : 0;
+	b->region = a->size > MESH_HB_REGION ? (uint32_t)mesh_int(&a->ptr[MESH_HB_REGION]) : 0;
+	b->interval = a->size > MESH_HB_INTERVAL ? (int)mesh_int(&a->ptr[MESH_HB_INTERVAL]) : 1;
+	b->interval = CLAMP(b->interval, 1, MESH_STANDBY_INTERVAL);
 	return 0;
 }
 
-int mesh_read_row(const msgpack_object *o, struct mesh_row *r)
+int mesh_read_load_row(const msgpack_object *o, struct mesh_load_row *r)
 {
 	const msgpack_object_array *a = &o->via.array;
 
@@ -74,9 +73,10 @@
 	r->load.used = mesh_int(&a->ptr[5]);
 	r->load.bare = mesh_int(&a->ptr[6]);
 	r->load.inbound = mesh_int(&a->ptr[7]);
-	r->ends.good = mesh_int(&a->ptr[8]);
-	r->ends.bad = mesh_int(&a->ptr[9]);
-	r->born_ms = a->size > MESH_ROW_BORN ? mesh_int(&a->ptr[MESH_ROW_BORN]) : 0;
+	r->outcomes.good = mesh_int(&a->ptr[8]);
+	r->outcomes.bad = mesh_int(&a->ptr[9]);
+	r->incarnation_ms =
+		a->size > MESH_ROW_INCARNATION ? mesh_int(&a->ptr[MESH_ROW_INCARNATION]) : 0;
 	return 0;
 }
 
--- a/src/fleet/mesh_roles.c
+++ b/src/fleet/mesh_roles.c
@@ -1,23 +1,24 @@
-/* Roles in the fleet: what this instance works out from whom it hears (src/core/roles.c). */
+/* Computes the roles in the fleet from the members (src/core/roles.c). */
 #include "clock.h"
 #include "jlog.h"
 #include "mesh_impl.h"
 #include "met.h"
 #include <saddlehead/roles.h>
 
-/* An instance that is named and not heard for so long is passed over: a link comes up within
- * some ms, and one whose opening packet was lost is opened anew meanwhile. */
-#define TRY_US 1500000
-/* One that was passed over is tried anew: usually it says itself that it is back. */
-#define TRY_AGAIN_US 5000000
-/* Requests here mark an instance as serving for so long, active or not: callers with an older
- * answer of the directory still come. */
-#define SERVES_US 5000000
+/* A named instance that sends no heartbeat within this time stops being a candidate. A link
+ * comes up within some milliseconds, and one whose opening packet was lost is opened again
+ * meanwhile. */
+#define CANDIDATE_US 1500000
+/* After it, such an instance is a candidate again. Usually its own heartbeat comes first. */
+#define CANDIDATE_RETRY_US 5000000
+/* After a request this instance counts as serving for this time, active or not: callers with an
+ * older answer of the directory still arrive. */
+#define SERVING_US 5000000
 
 static GArray *peers; /* of struct roles_peer, by rank once chosen */
-static int stale = 1; /* something changed since */
-static int self_active, self_hub, self_watches, self_asks, store_answers;
-static int64_t load_us; /* when this instance's load changed last; 0: never */
+static int stale = 1; /* something changed since the last computation */
+static int self_active, self_hub, self_watches_store, self_probes_store, store_answers;
+static int64_t load_us; /* when this instance's load last changed; 0: never */
 
 void mesh_roles_stale(void)
 {
@@ -26,14 +27,15 @@
 
 static enum roles_state state_of(struct member *m, int64_t now)
 {
-	if (m->alive) return m->said.draining ? ROLES_AWAY : ROLES_ALIVE;
-	if (!m->tried_us || now - m->tried_us > TRY_AGAIN_US) m->tried_us = now;
-	return now - m->tried_us < TRY_US ? ROLES_TRIED : ROLES_AWAY;
+	if (m->alive) return m->hb.draining ? ROLES_AWAY : ROLES_ALIVE;
+	if (!m->candidate_us || now - m->candidate_us > CANDIDATE_RETRY_US)
+		m->candidate_us = now;
+	return now - m->candidate_us < CANDIDATE_US ? ROLES_TRIED : ROLES_AWAY;
 }
 
-void mesh_passed_over(struct member *m)
+void mesh_release_role(struct member *m)
 {
-	m->tried_us = clock_us() - TRY_US;
+	m->candidate_us = clock_us() - CANDIDATE_US;
 	mesh_roles_stale();
 }
 
@@ -53,7 +55,7 @@
 	struct roles_peer p = {.link_mbps = m->link_mbps,
 			       .hash = g_str_hash(m->ip),
 			       .state = state_of(m, now),
-			       .store_down = !m->said.store_up,
+			       .store_down = !m->hb.store_up,
 			       .user = m};
 
 	g_array_append_val(peers, p);
@@ -79,7 +81,7 @@
 	m->hub = p->hub;
 }
 
-static void take_results(void)
+static void apply_roles(void)
 {
 	const struct roles_peer *p = (const struct roles_peer *)(void *)peers->data;
 	int n = (int)peers->len, i;
@@ -90,8 +92,8 @@
 		else
 			set_member(p[i].user, &p[i]);
 	}
-	self_watches = roles_watches(p, n);
-	self_asks = roles_asks(p, n);
+	self_watches_store = roles_watches(p, n);
+	self_probes_store = roles_asks(p, n);
 	store_answers = roles_store_answers(p, n);
 	met_set(MET_G_ACTIVE, self_active);
 }
@@ -108,7 +110,7 @@
 	for (i = 0; i < mesh_members()->len; i++)
 		add_member(g_ptr_array_index(mesh_members(), i), now);
 	roles_choose((struct roles_peer *)(void *)peers->data, (int)peers->len);
-	take_results();
+	apply_roles();
 }
 
 static void refresh(void)
@@ -128,16 +130,16 @@
 	return self_hub;
 }
 
-int mesh_watches(void)
+int mesh_watches_store(void)
 {
 	refresh();
-	return self_watches;
+	return self_watches_store;
 }
 
-int mesh_asks_store(void)
+int mesh_probes_store(void)
 {
 	refresh();
-	return self_asks;
+	return self_probes_store;
 }
 
 int mesh_store_answers(void)
@@ -146,28 +148,28 @@
 	return store_answers;
 }
 
-int64_t mesh_rest_us(void)
+int64_t mesh_backoff_us(void)
 {
 	return roles_rest_us((int)mesh_members()->len + 1, g_random_int());
 }
 
-int mesh_linked_to(const struct member *m)
+int mesh_keeps_link(const struct member *m)
 {
-	/* All that it had a word with shall hear that it stops. */
+	/* All instances that it is connected to are informed that it stops. */
 	if (mesh_self_draining()) return cn_open(&m->link);
 	return mesh_self_hub() || m->hub;
 }
 
-int mesh_self_serves(void)
+int mesh_self_serving(void)
 {
-	return mesh_self_active() || (load_us && clock_us() - load_us < SERVES_US);
+	return mesh_self_active() || (load_us && clock_us() - load_us < SERVING_US);
 }
 
-/* Others tell this instance of their loads from now on. */
-void mesh_note_load(void)
+/* The heartbeat makes others send their loads to this instance from now on. */
+void mesh_mark_serving(void)
 {
-	int served = mesh_self_serves();
+	int was_serving = mesh_self_serving();
 
 	load_us = clock_us();
-	if (!served) mesh_beat_now();
+	if (!was_serving) mesh_heartbeat_now();
 }
--- a/src/fleet/mesh_topic.c
+++ b/src/fleet/mesh_topic.c
@@ -1,4 +1,4 @@
-/* Which module takes which frames. */
+/* Registry of the modules that handle frames of their own types. */
 #include "mesh_topic.h"
 #include "mesh_impl.h"
 
@@ -21,12 +21,12 @@
 		if (topics[i]->write) topics[i]->write(out);
 }
 
-int mesh_take_topic(const struct member *m, const msgpack_object_array *a)
+int mesh_handle_topic(const struct member *m, const msgpack_object_array *a)
 {
 	int64_t type = mesh_int(&a->ptr[0]);
 	int i;
 
 	for (i = 0; i < ntopics; i++)
-		if (topics[i]->type == type) return topics[i]->take(m->said.name, a);
-	return 0; /* of a later release: not ours to refuse */
+		if (topics[i]->type == type) return topics[i]->handle(m->hb.name, a);
+	return 0; /* of a later release; not an error */
 }
--- a/src/fleet/mesh_where.c
+++ b/src/fleet/mesh_where.c
@@ -1,40 +1,41 @@
-/* Which instances callers are sent to. */
+/* Selects the instances that callers are sent to. */
 #include "mesh_impl.h"
 
-/* Fewer of the caller's own region would carry what is meant for all that are active. */
+/* With fewer active instances in the caller's region, these would get the load meant for all.
+ */
 #define NEAR_MIN 3
 
-enum wanted { ACTIVE, READY, ANY };
+enum eligibility { ACTIVE, READY, ANY };
 
-static int self_wanted(enum wanted w, uint32_t region)
+static int self_matches(enum eligibility w, uint32_t region)
 {
 	if (region && mesh_self_region() != region) return 0;
 	return mesh_self_takes_callers() && (w != ACTIVE || mesh_self_active());
 }
 
-static int wanted(const struct member *m, enum wanted w, uint32_t region)
+static int matches(const struct member *m, enum eligibility w, uint32_t region)
 {
-	if (!m->said.front[0] || m->said.draining) return 0;
-	if (region && m->said.region != region) return 0;
+	if (!m->hb.front[0] || m->hb.draining) return 0;
+	if (region && m->hb.region != region) return 0;
 	if (w == ANY) return 1;
-	return m->alive && m->said.ready && (w == READY || m->active);
+	return m->alive && m->hb.ready && (w == READY || m->active);
 }
 
-static int collect_addresses(const char **out, int max, enum wanted w, uint32_t region)
+static int collect_addresses(const char **out, int max, enum eligibility w, uint32_t region)
 {
 	uint32_t i;
 	int n = 0;
 
-	if (self_wanted(w, region) && n < max) out[n++] = mesh_cfg()->front_text;
+	if (self_matches(w, region) && n < max) out[n++] = mesh_cfg()->front_text;
 	for (i = 0; i < mesh_members()->len && n < max; i++) {
 		const struct member *m = g_ptr_array_index(mesh_members(), i);
 
-		if (wanted(m, w, region)) out[n++] = m->said.front;
+		if (matches(m, w, region)) out[n++] = m->hb.front;
 	}
 	return n;
 }
 
-/* bound: what callers ask for may be served in some regions alone. */
+/* bound: what the caller asks for may be served in some regions only. */
 static int collect_near(const char **out, int max, uint32_t region, int bound)
 {
 	int n = collect_addresses(out, max, ACTIVE, region);
--- a/src/fleet/mesh_write.c
+++ b/src/fleet/mesh_write.c
@@ -1,8 +1,9 @@
-/* Frames to other instances: four bytes of length, then a msgpack array led by its type. */
+/* Builds frames to other instances: four bytes of length, then a msgpack array that begins with
+ * the type. */
 #include "mesh_impl.h"
 #include <string.h>
 
-#define ITEM_BYTES 16 /* of an item, beside its key and value */
+#define ITEM_OVERHEAD 16 /* of an item, beside key and value */
 
 void mesh_pack_text(msgpack_packer *p, const char *s)
 {
@@ -30,10 +31,10 @@
 	msgpack_sbuffer_destroy(&f->buf);
 }
 
-void mesh_write_beat(GString *out, const struct mesh_beat *b)
+void mesh_write_heartbeat(GString *out, const struct mesh_heartbeat *b)
 {
 	struct mesh_frame f;
-	msgpack_packer *p = mesh_frame_begin(&f, MESH_BEAT, MESH_BEAT_FIELDS);
+	msgpack_packer *p = mesh_frame_begin(&f, MESH_HEARTBEAT, MESH_HB_FIELDS);
 
 	mesh_pack_text(p, b->name);
 	mesh_pack_text(p, b->ip);
@@ -49,17 +50,17 @@
 	msgpack_pack_int(p, b->store_up);
 	msgpack_pack_int(p, b->store_late);
 	msgpack_pack_int(p, b->link_mbps);
-	msgpack_pack_int(p, b->serves);
+	msgpack_pack_int(p, b->serving);
 	msgpack_pack_uint64(p, b->verdicts);
 	msgpack_pack_uint64(p, b->orders);
-	msgpack_pack_uint64(p, b->from);
+	msgpack_pack_uint64(p, b->backends_from);
 	msgpack_pack_uint32(p, b->dc);
 	msgpack_pack_uint32(p, b->region);
-	msgpack_pack_int(p, b->every);
+	msgpack_pack_int(p, b->interval);
 	mesh_frame_end(&f, out);
 }
 
-static void pack_row(msgpack_packer *p, const struct mesh_row *row)
+static void pack_row(msgpack_packer *p, const struct mesh_load_row *row)
 {
 	msgpack_pack_array(p, MESH_ROW_FIELDS);
 	mesh_pack_text(p, row->id);
@@ -70,12 +71,12 @@
 	msgpack_pack_uint32(p, row->load.used);
 	msgpack_pack_uint32(p, row->load.bare);
 	msgpack_pack_uint32(p, row->load.inbound);
-	msgpack_pack_uint32(p, row->ends.good);
-	msgpack_pack_uint32(p, row->ends.bad);
-	msgpack_pack_int64(p, row->born_ms);
+	msgpack_pack_uint32(p, row->outcomes.good);
+	msgpack_pack_uint32(p, row->outcomes.bad);
+	msgpack_pack_int64(p, row->incarnation_ms);
 }
 
-void mesh_write_loads(GString *out, const struct mesh_row *row, int n, int whole)
+void mesh_write_loads(GString *out, const struct mesh_load_row *row, int n, int whole)
 {
 	struct mesh_frame f;
 	msgpack_packer *p = mesh_frame_begin(&f, MESH_LOADS, 2 + n);
@@ -99,7 +100,7 @@
 
 static void add_size(const struct st_item *i, void *arg)
 {
-	*(size_t *)arg += strlen(i->key) + i->len + ITEM_BYTES;
+	*(size_t *)arg += strlen(i->key) + i->len + ITEM_OVERHEAD;
 }
 
 size_t mesh_items_size(struct board_revs after)
@@ -122,7 +123,7 @@
 	mesh_pack_text(p, i->key);
 	msgpack_pack_uint64(p, i->revision);
 	if (!i->value) {
-		msgpack_pack_int(p, 0); /* gone */
+		msgpack_pack_int(p, 0); /* deleted */
 		return;
 	}
 	msgpack_pack_bin(p, i->len);
@@ -134,27 +135,27 @@
 	mesh_pack_item(arg, i);
 }
 
-/* Leads the items: up to where they make the receiver's list of servers complete. Earlier
- * releases pass over an item that is of no list. */
-static void pack_claim(msgpack_packer *p)
+/* Precedes the items: the revision up to which they make the receiver's list of servers
+ * complete. Earlier releases ignore an item that belongs to no list. */
+static void pack_complete_to(msgpack_packer *p)
 {
-	struct st_item claim = {.key = "", .revision = board_revs().backends};
+	struct st_item marker = {.key = "", .revision = board_revs().backends};
 
-	mesh_pack_item(p, &claim);
+	mesh_pack_item(p, &marker);
 }
 
 static void write_newer(GString *out, enum mesh_type type, struct board_revs after)
 {
-	int n = 0, claims = board_revs().backends > after.backends;
+	int n = 0, has_marker = board_revs().backends > after.backends;
 	struct mesh_frame f;
 	msgpack_packer *p;
 
 	board_each_newer(after, count_item, &n);
-	if (!n && !claims) return;
-	p = mesh_frame_begin(&f, type, 3 + claims + n);
+	if (!n && !has_marker) return;
+	p = mesh_frame_begin(&f, type, 3 + has_marker + n);
 	msgpack_pack_uint64(p, after.conf);
 	msgpack_pack_uint64(p, after.backends);
-	if (claims) pack_claim(p);
+	if (has_marker) pack_complete_to(p);
 	board_each_newer(after, pack_item, p);
 	mesh_frame_end(&f, out);
 }
@@ -164,43 +165,42 @@
 	write_newer(out, MESH_ITEMS, after);
 }
 
-void mesh_write_news(GString *out, struct board_revs after)
+void mesh_write_updates(GString *out, struct board_revs after)
 {
-	write_newer(out, MESH_NEWS, after);
+	write_newer(out, MESH_UPDATES, after);
 }
 
 static int holds_all(const struct member *m, struct board_revs mine)
 {
-	return m->alive && m->said.revs.conf >= mine.conf &&
-	       m->said.revs.backends >= mine.backends;
+	return m->alive && m->hb.revs.conf >= mine.conf && m->hb.revs.backends >= mine.backends;
 }
 
-/* Those from a drawn one on: each that is refused hears of others. */
-static int collect_holders(const struct member **found, int most, uint32_t dc)
+/* Starts at a random member, so that refused instances are sent to different ones. */
+static int collect_holders(const struct member **found, int max, uint32_t dc)
 {
 	const GPtrArray *all = mesh_members();
 	struct board_revs mine = board_revs();
 	uint32_t i, first = g_random_int();
 	int n = 0;
 
-	for (i = 0; i < all->len && n < most; i++) {
+	for (i = 0; i < all->len && n < max; i++) {
 		const struct member *m = g_ptr_array_index(all, (first + i) % all->len);
 
-		if (dc && m->said.dc != dc) continue;
+		if (dc && m->hb.dc != dc) continue;
 		if (holds_all(m, mine)) found[n++] = m;
 	}
 	return n;
 }
 
-void mesh_write_holders(GString *out, int most, uint32_t dc)
+void mesh_write_holders(GString *out, int max, uint32_t dc)
 {
-	const struct member **found = g_new(const struct member *, most);
-	int i, n = collect_holders(found, most, dc);
+	const struct member **found = g_new(const struct member *, max);
+	int i, n = collect_holders(found, max, dc);
 	struct board_revs mine = board_revs();
 	struct mesh_frame f;
 	msgpack_packer *p;
 
-	if (!n) n = collect_holders(found, most, 0);
+	if (!n) n = collect_holders(found, max, 0);
 	p = mesh_frame_begin(&f, MESH_HOLDERS, 3 + n);
 
 	msgpack_pack_uint64(p, mine.conf);
@@ -210,32 +210,32 @@
 	g_free(found);
 }
 
-static int is_told(const struct member *m, int hubs_alone)
+static int is_listed(const struct member *m, int hubs_only)
 {
-	return m->alive && (m->hub || !hubs_alone);
+	return m->alive && (m->hub || !hubs_only);
 }
 
-static int count_told(const GPtrArray *all, int hubs_alone)
+static int count_listed(const GPtrArray *all, int hubs_only)
 {
 	uint32_t i;
 	int n = 0;
 
-	for (i = 0; i < all->len; i++) n += is_told(g_ptr_array_index(all, i), hubs_alone);
+	for (i = 0; i < all->len; i++) n += is_listed(g_ptr_array_index(all, i), hubs_only);
 	return n;
 }
 
-void mesh_write_peers(GString *out, int hubs_alone)
+void mesh_write_peers(GString *out, int hubs_only)
 {
 	const GPtrArray *all = mesh_members();
 	struct mesh_frame f;
-	int n = count_told(all, hubs_alone);
+	int n = count_listed(all, hubs_only);
 	msgpack_packer *p = mesh_frame_begin(&f, MESH_PEERS, 1 + 2 * n);
 	uint32_t i;
 
 	for (i = 0; i < all->len; i++) {
 		const struct member *m = g_ptr_array_index(all, i);
 
-		if (!is_told(m, hubs_alone)) continue;
+		if (!is_listed(m, hubs_only)) continue;
 		mesh_pack_text(p, m->ip);
 		msgpack_pack_int(p, m->link_mbps);
 	}
--- a/src/fleet/poison.c
+++ b/src/fleet/poison.c
@@ -3,7 +3,7 @@
 #include "clock.h"
 #include "ev.h"
 #include "mesh.h"
-#include "mesh_poison.h"
+#include "mesh_quarantine.h"
 #include "met.h"
 #include "poison_impl.h"
 #include <errno.h>
@@ -51,7 +51,7 @@
 static void on_blamed(const struct quar_suspect *s, void *arg)
 {
 	(void)arg;
-	mesh_tell_verdict(s);
+	mesh_send_verdict(s);
 	verdict_changed(s, "its ends");
 }
 
@@ -71,16 +71,16 @@
 {
 	int64_t now = clock_us();
 
-	if (!mesh_is_awake()) {
+	if (!mesh_is_current()) {
 		asked_us = 0;
 		ev_in(t, JUDGE_US);
 		return;
 	}
 	if (!asked_us) {
 		asked_us = now;
-		mesh_ask_serving();
+		mesh_request_heartbeats();
 	}
-	if (mesh_have_answered(asked_us))
+	if (mesh_all_acked(asked_us))
 		judge(now);
 	else
 		ev_in(t, ANSWER_LOOK_US);
@@ -101,9 +101,9 @@
 	int changed = quar_sound(table, fp, at_us);
 
 	if (!changed) return;
-	mesh_tell_through(fp, clock_us() - at_us);
+	mesh_send_succeeded(fp, clock_us() - at_us);
 	if (changed < 2) return;
-	mesh_tell_verdict(quar_find(table, fp));
+	mesh_send_verdict(quar_find(table, fp));
 	verdict_changed(quar_find(table, fp), "a run that came through");
 }
 
@@ -151,7 +151,7 @@
 
 	met_add(MET_BACKENDS_ENDED, 1);
 	g_strlcpy(e.server, b->id, sizeof e.server);
-	mesh_tell_end(&e, run);
+	mesh_send_crash(&e, run);
 	recent_note(b, run, n, at_us, now);
 	take_end(b->id, b->born_ms, mesh_self_name(), at_us, run, n);
 }
@@ -232,7 +232,7 @@
 
 	if (!quar_hear(table, fp, round, cleared, clock_us() - ago_us)) return;
 	s = quar_find(table, fp);
-	if (mesh_self_hub()) mesh_tell_verdict(s);
+	if (mesh_self_hub()) mesh_send_verdict(s);
 	verdict_changed(s, from);
 	take_remembered(fp);
 }
@@ -279,7 +279,7 @@
 	const struct write *w = arg;
 	int64_t ago_us = w->now - s->sound_us;
 
-	if (s->sound_us && ago_us <= RECENT_US) mesh_write_through(w->out, &s->fp, ago_us);
+	if (s->sound_us && ago_us <= RECENT_US) mesh_write_succeeded(w->out, &s->fp, ago_us);
 }
 
 void poison_write_told(GString *out)
@@ -306,7 +306,7 @@
 
 	if (known) return 1;
 	if (ignorant_us && now - ignorant_us >= ASK_US) known = 1;
-	if (mesh_known() == 1 && now - started_us >= ASK_US) known = 1;
+	if (mesh_most_members() == 1 && now - started_us >= ASK_US) known = 1;
 	if (now - started_us >= ASK_MOST_US) known = 1;
 	return known;
 }
@@ -333,7 +333,7 @@
 
 	if (!rc) rc = quar_clear(table, &fp, clock_us());
 	if (rc) return rc;
-	mesh_tell_verdict(quar_find(table, &fp));
+	mesh_send_verdict(quar_find(table, &fp));
 	verdict_changed(quar_find(table, &fp), "an operator");
 	return 0;
 }
--- a/src/fleet/poison_recent.c
+++ b/src/fleet/poison_recent.c
@@ -1,6 +1,6 @@
 /* Ends of backend servers that this instance saw lately: told again to whoever may have missed
  * the first word of them. */
-#include "mesh_poison.h"
+#include "mesh_quarantine.h"
 #include "poison_impl.h"
 #include <string.h>
 
@@ -59,6 +59,6 @@
 
 		if (e.ago_us > RECENT_US) continue;
 		g_strlcpy(e.server, r->server, sizeof e.server);
-		mesh_write_end(out, &e, (const struct poison_run *)(void *)r->run->data);
+		mesh_write_crash(out, &e, (const struct poison_run *)(void *)r->run->data);
 	}
 }
--- a/src/fleet/poison_way.c
+++ b/src/fleet/poison_way.c
@@ -2,7 +2,7 @@
  * tell, and this one's as it told them. */
 #include "clock.h"
 #include "entry_cfg.h"
-#include "mesh_poison.h"
+#include "mesh_quarantine.h"
 #include "poison_impl.h"
 #include <string.h>
 
@@ -78,7 +78,7 @@
 	if (!told) told = g_hash_table_new_full(fp_hash, fp_same, g_free, NULL);
 	before = GPOINTER_TO_UINT(g_hash_table_lookup(told, fp));
 	if (n == before) return;
-	mesh_tell_under_way(fp, n);
+	mesh_send_in_flight(fp, n);
 	if (n)
 		g_hash_table_insert(told, g_memdup2(fp, sizeof *fp), GUINT_TO_POINTER(n));
 	else
@@ -93,5 +93,5 @@
 	if (!told) return;
 	g_hash_table_iter_init(&it, told);
 	while (g_hash_table_iter_next(&it, &fp, &n))
-		mesh_write_under_way(out, fp, GPOINTER_TO_UINT(n));
+		mesh_write_in_flight(out, fp, GPOINTER_TO_UINT(n));
 }
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -162,14 +162,14 @@
 {
 	if (b->state != BE_READY || b->drained_us || b->probed || !b->own.used) return 0;
 	if (is_heard(b) || pace_wait_us(b, s, clock_us())) return 0;
-	return s && s->engine && (s->moves || s->backups) && mesh_first_user(b);
+	return s && s->engine && (s->moves || s->backups) && mesh_is_first_user(b);
 }
 
 static int lists_are_old(void)
 {
 	int64_t age_us = clock_us() - board_confirmed_us();
 
-	return age_us > (mesh_store_in_doubt() ? DOUBT_OLD_US : BOARD_OLD_US);
+	return age_us > (mesh_store_degraded() ? DOUBT_OLD_US : BOARD_OLD_US);
 }
 
 static void on_tick(struct ev_timer *t)
--- a/src/fleet/ro.c
+++ b/src/fleet/ro.c
@@ -135,7 +135,7 @@
 	if (next == o->stage) return;
 	if (next == ROLLOUT_ROLLED_BACK) log_verdict(o, &why);
 	/* One that finds it bad stops it; the rest is for those who write. */
-	if (next != ROLLOUT_ROLLED_BACK && !mesh_watches()) return;
+	if (next != ROLLOUT_ROLLED_BACK && !mesh_watches_store()) return;
 	if (next == ROLLOUT_COMPLETED) {
 		ro_write_completed(o);
 		return;
--- a/src/fleet/ro_mesh.c
+++ b/src/fleet/ro_mesh.c
@@ -71,7 +71,7 @@
 	o->own_changed = 0;
 	out = g_string_new(NULL);
 	write_one(out, o, 1);
-	mesh_send_judges(out);
+	mesh_send_serving_and_hubs(out);
 	g_string_free(out, TRUE);
 }
 
--- a/src/fleet/ro_status.c
+++ b/src/fleet/ro_status.c
@@ -86,7 +86,7 @@
 
 static int may_write(const struct ro *o)
 {
-	return !o->call && mesh_watches() && clock_us() >= o->next_us;
+	return !o->call && mesh_watches_store() && clock_us() >= o->next_us;
 }
 
 /* A shift is told to instances alone: the store has it as running, as the canary before. */
--- a/src/fleet/roster.c
+++ b/src/fleet/roster.c
@@ -70,7 +70,7 @@
 
 static void on_keep(struct ev_timer *t)
 {
-	if (!mesh_watches()) {
+	if (!mesh_watches_store()) {
 		lease = 0; /* runs out by itself, at no price */
 		ev_in(t, LOOK_US);
 		return;
@@ -94,20 +94,20 @@
 		if (!r->items[i].value || r->items[i].len >= sizeof ip) continue;
 		memcpy(ip, r->items[i].value, r->items[i].len);
 		ip[r->items[i].len] = '\0';
-		mesh_learn(ip);
+		mesh_add_ip(ip);
 	}
-	ev_in(&list_timer, mesh_live() > 1 ? LIST_US : LIST_ALONE_US);
+	ev_in(&list_timer, mesh_count_live() > 1 ? LIST_US : LIST_ALONE_US);
 }
 
 /* Those who leave their keys also look for keys of others: two parts of a fleet that lost each
  * other meet again this way. */
 static void on_list(struct ev_timer *t)
 {
-	if (mesh_live() > 1 && !mesh_watches()) {
+	if (mesh_count_live() > 1 && !mesh_watches_store()) {
 		ev_in(t, LIST_US);
 		return;
 	}
-	if (mesh_live() == 1) mesh_learn_seeds();
+	if (mesh_count_live() == 1) mesh_add_seeds();
 	st_range(PREFIX, NULL, on_listed, NULL);
 }
 
--- a/src/fleet/watch.c
+++ b/src/fleet/watch.c
@@ -57,7 +57,7 @@
 static void try_later(struct watcher *w)
 {
 	w->wait_us = w->wait_us ? MIN(w->wait_us * 2, RETRY_MAX_US) : RETRY_FIRST_US;
-	w->rest_until_us = clock_us() + mesh_rest_us();
+	w->rest_until_us = clock_us() + mesh_backoff_us();
 	ev_in(&w->retry, w->wait_us);
 }
 
@@ -78,7 +78,7 @@
 	struct board_revs base = board_revs();
 
 	apply_all(r, listed_us);
-	mesh_pass_on(base);
+	mesh_publish(base);
 }
 
 /* All changes of the list since the revision w->at, up to the last of them. */
@@ -92,7 +92,7 @@
 	apply_all(r, 0);
 	for (i = 0; i < r->n; i++) upto = MAX(upto, r->items[i].revision);
 	if (w->list.of == DL_BACKEND) board_complete(upto);
-	mesh_pass_on(base);
+	mesh_publish(base);
 }
 
 static uint64_t known_revision(const struct watcher *w)
@@ -115,22 +115,22 @@
 /* Who watches for all is known once others are heard; where none are named there are none. */
 static int must_watch(void)
 {
-	int alone = mesh_live() == 1 && mesh_known() > 1;
+	int alone = mesh_count_live() == 1 && mesh_most_members() > 1;
 
 	if (alone && clock_us() - started_us < SETTLE_US) return 0;
-	return mesh_watches();
+	return mesh_watches_store();
 }
 
 /* Some watch for all, and list whole what no other instance has. */
 static int others_have_or_list(void)
 {
-	return mesh_is_informed() || !must_watch();
+	return mesh_has_synced_hub() || !must_watch();
 }
 
 static int may_leave_rest(const struct watcher *w)
 {
 	if (w->left_us || w->list.of != DL_BACKEND || w->base.backends) return 0;
-	return mesh_known() > 1 && others_have_or_list();
+	return mesh_most_members() > 1 && others_have_or_list();
 }
 
 static void on_listed(const struct st_reply *r, void *user)
@@ -170,8 +170,8 @@
 	w->phase = WATCHING;
 	w->from = w->at;
 	w->covered = 0;
-	mesh_beat_now(); /* what is passed on then does not go on from what others know */
-	mesh_pass_on(w->base);
+	mesh_heartbeat_now(); /* what is passed on then does not go on from what others know */
+	mesh_publish(w->base);
 	next(w);
 }
 
@@ -218,7 +218,7 @@
 /* One that stands by sends to nobody, and hundreds of them would ask. */
 static int must_glance(const struct watcher *w)
 {
-	return has_gap(w) && mesh_self_hub() && mesh_is_informed();
+	return has_gap(w) && mesh_self_hub() && mesh_has_synced_hub();
 }
 
 /* Others have handed on whole what this one would list. */
@@ -250,7 +250,7 @@
 static int may_ask(const struct watcher *w)
 {
 	if (watch_store_up() || tries_anew(w) || clock_us() >= w->rest_until_us) return 1;
-	return mesh_asks_store() && !board_conf() && w->list.of == DL_CONF;
+	return mesh_probes_store() && !board_conf() && w->list.of == DL_CONF;
 }
 
 static void watch(struct watcher *w, int64_t wait_ms)
@@ -374,7 +374,7 @@
 static void leave_to_others(struct watcher *w)
 {
 	if (w->phase != WATCHING || !w->call || w->glancing || must_watch()) return;
-	if (!mesh_is_informed()) return;
+	if (!mesh_has_synced_hub()) return;
 	w->covered = 0; /* what the store has not answered yet may not have come from others */
 	start_again(w);
 }
--- a/src/fleet/watch_check.c
+++ b/src/fleet/watch_check.c
@@ -64,7 +64,7 @@
 	for (i = 0; i < keys->len; i++) {
 		struct st_item gone = {.key = g_ptr_array_index(keys, i), .revision = at};
 
-		mesh_tell_items(&gone, 1);
+		mesh_publish_items(&gone, 1);
 	}
 }
 
@@ -79,7 +79,7 @@
 
 	for (i = 0; i < r->n; i++)
 		if (board_apply(&r->items[i], board_platform) && !lists_orders(c))
-			mesh_tell_items(&r->items[i], 1);
+			mesh_publish_items(&r->items[i], 1);
 	if (is_in_order(c, r)) {
 		missing = board_apply_missing_of(&page, listed, r->at);
 		if (!lists_orders(c)) tell_missing(missing, r->at);
--- a/src/fleet/watch_confirm.c
+++ b/src/fleet/watch_confirm.c
@@ -39,7 +39,7 @@
 
 	(void)user;
 	confirming = NULL;
-	mesh_hold_fetch(0);
+	mesh_delay_fetch(0);
 	mesh_set_store_late(0);
 	watch_note_reply(r);
 	if (!r->rc) board_confirm(confirming_revision, r->sent_us);
@@ -48,12 +48,12 @@
 		watch_check_orders(); /* what is gone is not named in the answer */
 	}
 	if (r->rc && r->rc != -ECANCELED) {
-		rest_until_us = clock_us() + mesh_rest_us();
+		rest_until_us = clock_us() + mesh_backoff_us();
 		not_before_us = clock_us() + AGAIN_US;
 		return;
 	}
 	if (!was_up || r->rc == -ECANCELED) watch_anew();
-	mesh_beat_now();
+	mesh_heartbeat_now();
 	watch_check_lists();
 	age_us = draw_age();
 }
@@ -88,7 +88,7 @@
 	}
 	asked_us = clock_us();
 	confirming = st_commit(&ask, on_confirmed, NULL);
-	mesh_hold_fetch(asked_us + LATE_US);
+	mesh_delay_fetch(asked_us + LATE_US);
 	g_ptr_array_unref(keys);
 	g_ptr_array_unref(dcs);
 }
@@ -97,18 +97,18 @@
 static int64_t own_age(void)
 {
 	if (!mesh_self_hub()) return age_us + STANDBY_AGE_US;
-	return mesh_self_active() && mesh_live() > ROLES_ACTIVE ? age_us + ACTIVE_AGE_US
-								: age_us;
+	return mesh_self_active() && mesh_count_live() > ROLES_ACTIVE ? age_us + ACTIVE_AGE_US
+								      : age_us;
 }
 
 static int may_ask(int64_t now)
 {
 	struct roles_old o = {.hub = mesh_self_hub(),
-			      .asks = mesh_asks_store(),
+			      .asks = mesh_probes_store(),
 			      .store_up = watch_store_up()};
 
 	if (now < not_before_us) return 0;
-	if (!rest_until_us) rest_until_us = now + mesh_rest_us();
+	if (!rest_until_us) rest_until_us = now + mesh_backoff_us();
 	o.rest_until_us = rest_until_us;
 	return roles_may_ask(&o, now);
 }
@@ -129,7 +129,7 @@
 		return;
 	}
 	if (!receiving_since_us) receiving_since_us = now;
-	if (now - receiving_since_us < HOLD_MOST_US) mesh_hold_fetch(now + 2 * TICK_US);
+	if (now - receiving_since_us < HOLD_MOST_US) mesh_delay_fetch(now + 2 * TICK_US);
 }
 
 static void on_tick(struct ev_timer *t)
@@ -142,7 +142,7 @@
 	hold_fetch(now);
 	if (confirming && unanswered(now)) mesh_set_store_late(1);
 	if (confirming || !board_conf()) return;
-	if (mesh_fetching() && now - board_confirmed_us() < BOARD_OLD_US) return;
+	if (mesh_fetch_in_progress() && now - board_confirmed_us() < BOARD_OLD_US) return;
 	if (now - board_confirmed_us() < own_age())
 		rest_until_us = 0;
 	else if (may_ask(now))
@@ -152,7 +152,7 @@
 void watch_confirm_start(void)
 {
 	age_us = draw_age();
-	mesh_hold_fetch(clock_us() + LATE_US); /* all list from the store at a start */
+	mesh_delay_fetch(clock_us() + LATE_US); /* all list from the store at a start */
 	timer.fire = on_tick;
 	ev_in(&timer, TICK_US);
 }
--- a/src/fleet/watch_reply.c
+++ b/src/fleet/watch_reply.c
@@ -26,7 +26,7 @@
 	up = now_up;
 	if (!up) down_since_us = clock_us();
 	mesh_set_store_up(up);
-	mesh_beat_now();
+	mesh_heartbeat_now();
 	g = jlog_begin("fleet", up ? "store_regained" : "store_lost");
 	if (!up) jlog_int(g, "error", rc);
 	jlog_end(g);
--- a/src/internal/mesh_topic.h
+++ b/src/internal/mesh_topic.h
@@ -1,5 +1,5 @@
-/* Frames between instances, for modules that tell each other things through the mesh: it
- * carries them, and knows nothing of what they mean. */
+/* Frames between instances, for modules that exchange data through the mesh. The mesh
+ * transports the frames without interpreting them. */
 #ifndef SH_MESH_TOPIC_H
 #define SH_MESH_TOPIC_H
 #include <glib.h>
@@ -7,42 +7,42 @@
 #include <stdint.h>
 
 enum mesh_type {
-	MESH_BEAT = 1,
+	MESH_HEARTBEAT = 1,
 	MESH_LOADS,
-	MESH_WANT, /* asks for items, which come on the link: earlier releases do */
+	MESH_FETCH_LEGACY, /* requests items on the link; sent by earlier releases */
 	MESH_ITEMS,
 	MESH_LEAVING,
-	MESH_MEMBERS, /* instances by address alone: earlier releases tell them so */
-	MESH_NEWS,
+	MESH_PEERS_LEGACY, /* instances by address only; sent by earlier releases */
+	MESH_UPDATES,
 	MESH_SUSPECT,
-	MESH_FETCH,     /* asks for items, which come back on the same connection */
-	MESH_PEERS,     /* instances with the width of their links */
-	MESH_HOLDERS,   /* instead of items: instances that have them */
-	MESH_ENDED,     /* a server ended, and what ran there */
-	MESH_THROUGH,   /* a run came through of what servers ended under */
-	MESH_UNDER_WAY, /* so many runs of it have not answered yet */
-	MESH_VERDICTS,  /* what is blamed for ends of servers, or is not any longer */
-	MESH_ORDERS,    /* of the operators: drained data centres, versions to bring in */
-	MESH_ABSENT,  /* instances that were known and are not heard: their parts stay theirs */
-	MESH_LIMITS,  /* what backend servers said of the requests that they take */
-	MESH_ROLLOUT, /* how far a version is that is brought in, and how exchanges with it
-			 went */
-	MESH_ASK      /* asks for a heartbeat at once */
+	MESH_FETCH,     /* requests items on the same connection */
+	MESH_PEERS,     /* instances with the bandwidth of their links */
+	MESH_HOLDERS,   /* refuses a copy, and names instances that have it */
+	MESH_CRASH,     /* a server crashed, and the requests that it ran */
+	MESH_SUCCEEDED, /* a run succeeded of a request under which servers crashed */
+	MESH_IN_FLIGHT, /* number of runs of such a request that have not answered yet */
+	MESH_VERDICTS,  /* requests that are quarantined, or are no longer */
+	MESH_ORDERS,    /* operators' orders: drained data centres, versions to roll out */
+	MESH_ABSENT,    /* instances no longer seen alive, which keep their parts */
+	MESH_LIMITS,    /* rate limits that backend servers stated */
+	MESH_ROLLOUT,   /* state of a rollout, and outcomes of exchanges with the new version */
+	MESH_PING       /* requests an immediate heartbeat */
 };
 
-/* What one module tells the same module of other instances. */
+/* One kind of data that a module exchanges with the same module of other instances. */
 struct mesh_topic {
 	enum mesh_type type;
-	/* A frame of that type from another instance. 0 or -EBADMSG. */
-	int (*take)(const char *from, const msgpack_object_array *a);
-	/* Appends frames with all that an instance should know that starts, or was cut off;
-	 * NULL: nothing. */
+	/* Handles a frame of that type from another instance. 0 or -EBADMSG. */
+	int (*handle)(const char *from, const msgpack_object_array *a);
+	/* Appends frames with the whole state, for an instance that started or was cut off;
+	 * NULL: none. */
 	void (*write)(GString *out);
 };
-/* At the start, before the mesh's. t is kept. */
+/* To be called at start, before mesh_start. t is kept. */
 void mesh_add_topic(const struct mesh_topic *t);
 
-/* A frame that is being written: an array of so many fields, its type the first. */
+/* A frame being written: an array of the given number of fields, the first of which is the
+ * type. */
 struct mesh_frame {
 	msgpack_sbuffer buf;
 	msgpack_packer p;
@@ -51,13 +51,13 @@
 void mesh_frame_end(struct mesh_frame *f, GString *out);
 void mesh_pack_text(msgpack_packer *p, const char *s);
 
-/* What is malformed gives -EBADMSG, but an integer 0. */
+/* Malformed input gives -EBADMSG, except for an integer, which reads as 0. */
 int mesh_text(const msgpack_object *o, char *out, size_t max);
 int64_t mesh_int(const msgpack_object *o);
 
 void mesh_send_all(const GString *frame);
-/* To those that callers come to. */
+/* Sends to all instances that receive caller traffic. */
 void mesh_send_serving(const GString *frame);
-/* To these and to those that ask the store for all. */
-void mesh_send_judges(const GString *frame);
+/* Sends to these and to the hubs, some of which watch the store for all. */
+void mesh_send_serving_and_hubs(const GString *frame);
 #endif
--- a/src/relay/rq_move.c
+++ b/src/relay/rq_move.c
@@ -81,7 +81,7 @@
  * left, or took longer than they should. */
 static int its_turn(struct rq *r)
 {
-	uint32_t before = mesh_bare_before(r->leg->be);
+	uint32_t before = mesh_unreplicated_before(r->leg->be);
 	int64_t now = clock_us();
 
 	if (!before) return 1;
--- a/src/relay/rq_pick.c
+++ b/src/relay/rq_pick.c
@@ -163,7 +163,7 @@
 /* Each of the others is taken to send as much as this one. */
 static double rivals(void)
 {
-	return rate_now() * mesh_serving() * UNHEARD_US / 1e6;
+	return rate_now() * mesh_count_serving() * UNHEARD_US / 1e6;
 }
 
 static struct be *pick(struct rq *r, const struct be *not_this)
--- a/src/relay/rq_send.c
+++ b/src/relay/rq_send.c
@@ -134,7 +134,7 @@
 	const struct be *last = r->leg ? r->leg->be : NULL;
 	struct be *b;
 
-	if (!mesh_is_awake()) {
+	if (!mesh_is_current()) {
 		rq_refuse(r, REF_NO_TABLE, RETRY_SOON_US,
 			  "this instance stood still and has not heard from others since");
 		return;
--- a/test/pw_peer.c
+++ b/test/pw_peer.c
@@ -66,7 +66,7 @@
 static void write_beat(GString *out, const struct pw_peer *me)
 {
 	struct frame f;
-	msgpack_packer *p = begin(&f, MESH_BEAT, MESH_BEAT_FIELDS);
+	msgpack_packer *p = begin(&f, MESH_HEARTBEAT, MESH_HB_FIELDS);
 	char front[48];
 
 	g_snprintf(front, sizeof front, "%s:%d", me->ip, PW_FRONT);
@@ -138,7 +138,7 @@
 {
 	struct frame f;
 	GString *out = g_string_new(NULL);
-	msgpack_packer *p = begin(&f, MESH_NEWS, 4);
+	msgpack_packer *p = begin(&f, MESH_UPDATES, 4);
 
 	msgpack_pack_uint64(p, conf);
 	msgpack_pack_uint64(p, backends);
@@ -170,7 +170,7 @@
 void pw_peer_tells_end(struct pw_peer *me, const char *server, const struct fp *fp, int ran_ms)
 {
 	struct frame f;
-	msgpack_packer *p = begin(&f, MESH_ENDED, 6);
+	msgpack_packer *p = begin(&f, MESH_CRASH, 6);
 
 	pack_text(p, server);
 	msgpack_pack_int(p, 0);
@@ -195,7 +195,7 @@
 	struct frame f;
 	msgpack_packer *p = begin(&f, MESH_VERDICTS, 6);
 
-	msgpack_pack_int(p, MESH_SOME);
+	msgpack_pack_int(p, MESH_VERDICTS_SOME);
 	pack_fp(p, fp);
 	msgpack_pack_int(p, 1);
 	msgpack_pack_int(p, 0);
@@ -319,11 +319,11 @@
 static void take_small(struct pw_peer_cn *c, const char *p, uint32_t len)
 {
 	switch (frame_type(p)) {
-	case MESH_BEAT: heard_beat(c->peer, p, len); return;
-	case MESH_ASK:
+	case MESH_HEARTBEAT: heard_beat(c->peer, p, len); return;
+	case MESH_PING:
 		if (c->peer->link && !c->peer->link->cn.connecting) send_on_link(c->peer);
 		return;
-	case MESH_WANT: answer(c->peer, c->peer->link); return;
+	case MESH_FETCH_LEGACY: answer(c->peer, c->peer->link); return;
 	case FETCH: answer(c->peer, c); return;
 	case MESH_LEAVING: c->peer->leavings++; return;
 	case MESH_VERDICTS: c->peer->verdicts += len >= VERDICT_MIN; return;
@@ -408,7 +408,7 @@
 	GString *out = g_string_new(NULL);
 
 	write_beat(out, me);
-	if (me->wants) write_question(out, MESH_WANT);
+	if (me->wants) write_question(out, MESH_FETCH_LEGACY);
 	cn_write(&me->link->cn, out->str, out->len);
 	g_string_free(out, TRUE);
 }
--- a/test/relayed.c
+++ b/test/relayed.c
@@ -1,6 +1,6 @@
 #include "relayed.h"
 
-#define PEER_PROXY 120 /* hosts: the ways of the others to each entry */
+#define RELAY_HOST 120 /* host number of the first relay */
 
 static struct proxy *relay_to(int host, const char *ip)
 {
@@ -15,11 +15,11 @@
 {
 	GString *more = g_string_new(NULL);
 
-	g_string_append_printf(more, "ipAddress=%s\n", pw_ip(PEER_PROXY + i));
-	g_string_append_printf(more, "seedNodes=%s:1\n", pw_ip(PEER_PROXY));
+	g_string_append_printf(more, "ipAddress=%s\n", pw_ip(RELAY_HOST + i));
+	g_string_append_printf(more, "seedNodes=%s:1\n", pw_ip(RELAY_HOST));
 	pw_settings(more->str);
 	f->e[i] = pw_entry_start();
-	f->way[i] = relay_to(PEER_PROXY + i, f->e[i]->ip);
+	f->relay[i] = relay_to(RELAY_HOST + i, f->e[i]->ip);
 	g_string_free(more, TRUE);
 }
 
@@ -29,18 +29,18 @@
 
 	for (i = 0; i < RELAYED; i++) start(f, i);
 	for (i = 0; i < RELAYED; i++) pw_entry_until_ready(f->e[i]);
-	pw_run(RELAYED_HEAR_MS);
+	pw_run(RELAYED_CONNECT_MS);
 }
 
 void relayed_end(struct relayed *f)
 {
 	int i;
 
-	for (i = 0; i < RELAYED; i++) proxy_free(f->way[i]);
+	for (i = 0; i < RELAYED; i++) proxy_free(f->relay[i]);
 	pw_end();
 }
 
-int relayed_hear_all(struct relayed *f)
+int relayed_all_connected(struct relayed *f)
 {
 	int i, all = 1;
 
--- a/test/test_entry.c
+++ b/test/test_entry.c
@@ -1,5 +1,5 @@
-/* Beliefs of an entry on the platform: configuration, backend servers, other instances; its
- * end. */
+/* The state that an entry on the platform keeps: configuration, backend servers, other
+ * instances; its planned stop and its settings. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
@@ -51,7 +51,7 @@
 	pw_end();
 }
 
-/* It wakes with beliefs that look fresh by what it last saw. */
+/* After a suspension its configuration looks fresh by the time of the last update. */
 static void a_process_that_was_frozen_runs_nothing_on_old_keys(void)
 {
 	struct pw_server *s;
@@ -64,7 +64,7 @@
 	e = pw_entry_ready();
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200);
 	kill(e->pid, SIGSTOP);
-	pw_store.watches_silent = 1; /* nothing of it waits in its sockets */
+	pw_store.watches_silent = 1; /* no update is left in its sockets */
 	pw_conf.keys = "[\"other\"]";
 	pw_conf.version = 2;
 	pw_conf_write();
@@ -81,7 +81,7 @@
 	pw_end();
 }
 
-/* Watches hear nothing while a key goes; then the history is forgotten. */
+/* The watches deliver nothing while a key is removed. */
 static void a_silent_watch_hides_no_key_that_is_taken_away(void)
 {
 	struct pw_entry *e;
@@ -209,7 +209,7 @@
 
 	e = pw_init_with(s, 2);
 	s[0]->mode = PW_STRANGER;
-	s[1]->work_ms = 60; /* so that the stranger is asked */
+	s[1]->work_ms = 60; /* so that the wrong incarnation is chosen first */
 	for (i = 0; i < 4; i++) CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200);
 	before = s[0]->arrivals;
 	CU_ASSERT_EQUAL(before, 1);
@@ -235,7 +235,7 @@
 	pw_end();
 }
 
-/* Its requests always take longer than it allows: no server is to blame. */
+/* Requests to the route always exceed its time limit, which is no fault of a server. */
 static void a_route_that_never_ends_in_time_ejects_no_server(void)
 {
 	struct pw_server *s[2];
@@ -257,7 +257,7 @@
 	pw_end();
 }
 
-/* ---- the end, and settings ---- */
+/* ---- planned stop and settings ---- */
 
 static void a_planned_stop_finishes_what_runs(void)
 {
@@ -288,7 +288,8 @@
 	pw_end();
 }
 
-/* What comes late in a planned stop is taken only if its final answer is due before the end. */
+/* A request that arrives late in a planned stop is accepted only if its final answer is due
+ * before the end. */
 static void what_may_outlast_a_planned_stop_is_sent_elsewhere(void)
 {
 	struct pw_entry *e;
@@ -312,7 +313,7 @@
 	pw_end();
 }
 
-/* How fast engines are is learnt: a stream that would be cut at the end is not begun. */
+/* The measured speed of engines counts: a stream that the end would cut off is not begun. */
 static void a_planned_stop_knows_how_slow_engines_are(void)
 {
 	struct pw_server *s;
@@ -384,7 +385,7 @@
 	pw_end();
 }
 
-/* A newer configuration may have the route, and the key. */
+/* A newer configuration may have the route or the key, so that 404 and 401 could be wrong. */
 static void an_old_configuration_says_nothing_of_what_it_does_not_know(void)
 {
 	struct pw_server *s[1];
--- a/test/test_links.c
+++ b/test/test_links.c
@@ -1,14 +1,15 @@
-/* Links between instances that break, fall silent or hold bytes up: behind a relay each. */
+/* Links between instances that break, fall silent or delay bytes; a relay in front of each
+ * instance disturbs them. */
 #include "check.h"
 #include "pw_peer.h"
 #include "relayed.h"
 #include <signal.h>
 #include <string.h>
 
-#define RENEW_MS 3500 /* silence is noticed, and the link is up again */
+#define RENEW_MS 3500 /* until the silence is detected and the link is up again */
 
-/* All links fell silent without a reset: each instance wrote on into its own for good, and went
- * by its own knowledge alone. */
+/* All links fell silent without a reset: each instance kept writing to its own for ever, and
+ * had only its own state to go by. */
 static void links_that_fall_silent_are_made_anew(void)
 {
 	struct relayed f;
@@ -17,14 +18,15 @@
 	pw_init();
 	pw_server_add("app", 0);
 	relayed_begin(&f);
-	CU_ASSERT(relayed_hear_all(&f));
-	for (i = 0; i < RELAYED; i++) proxy_silence(f.way[i]);
+	CU_ASSERT(relayed_all_connected(&f));
+	for (i = 0; i < RELAYED; i++) proxy_silence(f.relay[i]);
 	pw_run(RENEW_MS);
-	CU_ASSERT(relayed_hear_all(&f));
+	CU_ASSERT(relayed_all_connected(&f));
 	relayed_end(&f);
 }
 
-/* Whoever wrote on the silent link went on hearing the other, and noticed nothing. */
+/* The instance that wrote to the silent link still received from the other one, and noticed
+ * nothing. */
 static void a_link_that_falls_silent_one_way_is_made_anew(void)
 {
 	struct relayed f;
@@ -32,20 +34,20 @@
 	pw_init();
 	pw_server_add("app", 0);
 	relayed_begin(&f);
-	proxy_silence(f.way[1]);
+	proxy_silence(f.relay[1]);
 	pw_run(RENEW_MS);
-	CU_ASSERT(relayed_hear_all(&f));
+	CU_ASSERT(relayed_all_connected(&f));
 	relayed_end(&f);
 }
 
-/* ---- what is told once ---- */
+/* ---- frames that are sent once ---- */
 
-#define GUILTY "the prompt that ends them"
-#define CRASH_MS 100   /* from when a server begins to run it until it ends */
-#define NOTICE_MS 60   /* then instances have found out */
-#define ANSWER_MS 4500 /* who does not answer is waited for no more, and some way */
-#define AGAIN_MS 2500  /* after a disturbance: a link is found silent, and opened anew */
-#define OLD_MS 5000    /* a run that came through so long ago is remembered no more */
+#define CRASHING_BODY "the prompt that ends them"
+#define CRASH_MS 100     /* from the start of the request until its server crashes */
+#define DETECT_MS 60     /* until the instances have detected the crash */
+#define ACK_WAIT_MS 4500 /* until missing acknowledgements are not waited for */
+#define RECOVER_MS 2500  /* until a silent link is detected and open again */
+#define EXPIRED_MS 5000  /* until a successful run is forgotten */
 
 static struct pw_call *ask(struct pw_entry *e, const char *body)
 {
@@ -53,7 +55,7 @@
 		       "X-Request-Id: r\r\nX-Credential: k1\r\nX-Deadline-Ms: 4000\r\n", body);
 }
 
-static struct pw_server *list_alone(void)
+static struct pw_server *list_only_server(void)
 {
 	struct pw_server *s = pw_server_add("app", 0);
 
@@ -62,35 +64,35 @@
 	return s;
 }
 
-static void end_under(struct relayed *f, struct pw_server *s)
+static void crash_under(struct relayed *f, struct pw_server *s)
 {
-	ask(f->e[0], GUILTY);
-	pw_run(CRASH_MS + NOTICE_MS);
+	ask(f->e[0], CRASHING_BODY);
+	pw_run(CRASH_MS + DETECT_MS);
 	pw_server_unlist(s);
 }
 
-/* The server, which is listed alone, ends under one request and beside another. */
-static void end_one(struct relayed *f)
+/* The only listed server crashes under one request while it runs another. */
+static void crash_one(struct relayed *f)
 {
-	struct pw_server *s = list_alone();
+	struct pw_server *s = list_only_server();
 
 	ask(f->e[1], "what everybody sends");
 	pw_run(20);
-	end_under(f, s);
+	crash_under(f, s);
 }
 
-/* Word of an end was sent on a link that carried nothing, or was being opened anew: whoever
- * missed it judged by the rest for good. */
+/* The report of a crash was sent on a link that carried nothing or was being opened again: an
+ * instance that missed it never got it, and judged by the other crashes. */
 static void an_end_is_told_again_when_the_link_is_back(void)
 {
 	struct relayed f;
 
 	pw_init();
-	pw_crash = (struct pw_crash){.body = GUILTY, .after_ms = CRASH_MS};
+	pw_crash = (struct pw_crash){.body = CRASHING_BODY, .after_ms = CRASH_MS};
 	pw_server_add("llm", 1);
 	relayed_begin(&f);
-	proxy_silence(f.way[2]);
-	end_one(&f);
+	proxy_silence(f.relay[2]);
+	crash_one(&f);
 	pw_run(RENEW_MS);
 	CU_ASSERT_EQUAL(pw_crash.ends, 1);
 	CU_ASSERT(pw_log_has(f.e[1], "backend_ended"));
@@ -98,8 +100,8 @@
 	relayed_end(&f);
 }
 
-/* Whether e knows that s ended. */
-static int knows_end(struct pw_entry *e, const struct pw_server *s)
+/* Whether e logged the crash of s. */
+static int logged_crash(struct pw_entry *e, const struct pw_server *s)
 {
 	char line[96];
 
@@ -107,15 +109,15 @@
 	return pw_log_has(e, line);
 }
 
-/* Whatever becomes of a link for a while, and whether what is sent on it meanwhile comes late
- * or never: both ends hear each other again, and know what ended. */
+/* However a link is disturbed for a while, and whether frames sent meanwhile arrive late or
+ * never: both instances are connected again afterwards, and have the crash. */
 static void what_is_said_on_a_disturbed_link_arrives(void)
 {
 	static const struct {
 		enum proxy_mode mode;
 		int ms;
-	} of[] = {{PROXY_SILENT, 800},    {PROXY_SILENT, 2500}, {PROXY_CUT_TO, 2500},
-		  {PROXY_CUT_FROM, 2500}, {PROXY_RESET, 1500},  {PROXY_DELAY, 1500}};
+	} disturbance[] = {{PROXY_SILENT, 800},    {PROXY_SILENT, 2500}, {PROXY_CUT_TO, 2500},
+			   {PROXY_CUT_FROM, 2500}, {PROXY_RESET, 1500},  {PROXY_DELAY, 1500}};
 	struct pw_server *s;
 	struct relayed f;
 	char body[32];
@@ -126,25 +128,26 @@
 	pw_crash = (struct pw_crash){.body = body, .after_ms = CRASH_MS};
 	pw_server_add("llm", 1);
 	relayed_begin(&f);
-	for (i = 0; i < G_N_ELEMENTS(of); i++) {
-		/* One request may end three, and is not blamed for one. */
+	for (i = 0; i < G_N_ELEMENTS(disturbance); i++) {
+		/* Another request each time: one crash does not quarantine it, as three of the
+		 * same would. */
 		g_snprintf(body, sizeof body, "prompt %u", i);
-		s = list_alone();
-		proxy_set(f.way[1], of[i].mode);
+		s = list_only_server();
+		proxy_set(f.relay[1], disturbance[i].mode);
 		ask(f.e[0], body);
-		pw_run(of[i].ms);
-		proxy_set(f.way[1], PROXY_OK);
+		pw_run(disturbance[i].ms);
+		proxy_set(f.relay[1], PROXY_OK);
 		pw_server_unlist(s);
-		pw_run(AGAIN_MS);
-		CU_ASSERT(relayed_hear_all(&f));
-		for (k = 0; k < RELAYED; k++) CU_ASSERT(knows_end(f.e[k], s));
+		pw_run(RECOVER_MS);
+		CU_ASSERT(relayed_all_connected(&f));
+		for (k = 0; k < RELAYED; k++) CU_ASSERT(logged_crash(f.e[k], s));
 	}
 	relayed_end(&f);
 }
 
-/* Three servers ended under one request and beside another, and word of the last end was half a
- * second late at the instance of the other: it blamed that one, 0.2 s after its own last end.
- */
+/* Three servers crashed under one request while they ran another. The report of the last crash
+ * was half a second late at the instance of the other request, which quarantined that one, 0.2
+ * s after its own last crash. */
 static void a_verdict_waits_for_word_that_is_under_way(void)
 {
 	struct pw_call *c;
@@ -152,19 +155,19 @@
 	int i;
 
 	pw_init();
-	pw_crash = (struct pw_crash){.body = GUILTY, .after_ms = CRASH_MS};
+	pw_crash = (struct pw_crash){.body = CRASHING_BODY, .after_ms = CRASH_MS};
 	pw_server_add("llm", 1);
 	relayed_begin(&f);
 	for (i = 0; i < 2; i++) {
-		end_one(&f);
+		crash_one(&f);
 		pw_run(100);
 	}
-	proxy_set(f.way[1], PROXY_CUT_TO);
-	end_one(&f);
+	proxy_set(f.relay[1], PROXY_CUT_TO);
+	crash_one(&f);
 	pw_run(350);
 	pw_server_add("app", 0);
 	pw_run(150);
-	proxy_set(f.way[1], PROXY_OK);
+	proxy_set(f.relay[1], PROXY_OK);
 	pw_run(300);
 	CU_ASSERT_EQUAL(pw_crash.ends, 3);
 	c = ask(f.e[1], "what everybody sends");
@@ -174,39 +177,39 @@
 	relayed_end(&f);
 }
 
-/* One that is heard and hears nothing was waited for as long as that lasted, while the request
- * went on to end servers. */
+/* An instance whose heartbeats arrive, but which receives nothing, was waited for as long as
+ * that lasted, while the request crashed more servers. */
 static void a_verdict_waits_for_no_answer_that_does_not_come(void)
 {
 	struct relayed f;
 	int i;
 
 	pw_init();
-	pw_crash = (struct pw_crash){.body = GUILTY, .after_ms = CRASH_MS};
+	pw_crash = (struct pw_crash){.body = CRASHING_BODY, .after_ms = CRASH_MS};
 	pw_server_add("llm", 1);
 	relayed_begin(&f);
-	proxy_set(f.way[1], PROXY_CUT_TO);
-	for (i = 0; i < 3; i++) end_under(&f, list_alone());
+	proxy_set(f.relay[1], PROXY_CUT_TO);
+	for (i = 0; i < 3; i++) crash_under(&f, list_only_server());
 	CU_ASSERT_EQUAL(pw_crash.ends, 3);
-	pw_run(ANSWER_MS);
+	pw_run(ACK_WAIT_MS);
 	CU_ASSERT_EQUAL(pw_metric(f.e[0], "saddlehead_blocked"), 1);
 	relayed_end(&f);
 }
 
-/* The server, which is listed alone, ends for another cause under what everybody sends. */
-static void end_one_by_itself(struct relayed *f)
+/* The only listed server crashes for another reason, under a common request. */
+static void crash_by_itself(struct relayed *f)
 {
-	struct pw_server *s = list_alone();
+	struct pw_server *s = list_only_server();
 
 	ask(f->e[1], "what everybody sends");
 	pw_run(CRASH_MS);
 	pw_server_die(s);
-	pw_run(NOTICE_MS);
+	pw_run(DETECT_MS);
 	pw_server_unlist(s);
 }
 
-/* Ends of the last half minute are told to one that starts. What ran there came through since,
- * which it was not told: it blamed what everybody sends. */
+/* A starting instance gets the crashes of the last half minute. It did not get the runs that
+ * had succeeded since, and quarantined a common request. */
 static void one_that_starts_hears_what_came_through_since(void)
 {
 	struct pw_server *s;
@@ -216,22 +219,22 @@
 	pw_init();
 	pw_server_add("llm", 1);
 	relayed_begin(&f);
-	end_one_by_itself(&f);
-	end_one_by_itself(&f);
+	crash_by_itself(&f);
+	crash_by_itself(&f);
 	s = pw_server_add("app", 0);
 	pw_run(150);
 	c = ask(f.e[1], "what everybody sends");
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
 	pw_server_unlist(s);
-	end_one_by_itself(&f);
-	pw_run(OLD_MS);
+	crash_by_itself(&f);
+	pw_run(EXPIRED_MS);
 	pw_entry_kill(f.e[2], SIGKILL);
 	CU_ASSERT(pw_entry_wait(f.e[2], 1000) >= 0);
 	pw_entry_again(f.e[2]);
 	CU_ASSERT(pw_entry_until_ready(f.e[2]));
 	pw_server_add("app", 0);
-	pw_run(RELAYED_HEAR_MS);
+	pw_run(RELAYED_CONNECT_MS);
 	c = ask(f.e[2], "what everybody sends");
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
@@ -240,8 +243,8 @@
 	relayed_end(&f);
 }
 
-/* What a server says of itself was told to those that callers came to then: one that callers
- * came to later went on sending to servers that leave. */
+/* Notice that a server leaves was sent only to the instances that were serving then: one that
+ * began to serve later kept sending requests to that server. */
 static void an_instance_that_begins_to_serve_is_told_who_leaves(void)
 {
 	struct pw_server *s[2];
--- a/test/test_mesh.c
+++ b/test/test_mesh.c
@@ -1,4 +1,4 @@
-/* Instances and what they tell each other, through the real program. */
+/* Exchange between instances, through the real program. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
@@ -8,7 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Two instances fail once each at the same server: neither asks it again for a while. */
+/* Two instances see one failure each at the same server: together they stop sending to it for a
+ * while. */
 static void what_others_saw_of_a_server_counts(void)
 {
 	struct pw_server *s[3];
@@ -20,7 +21,7 @@
 	for (i = 0; i < 2; i++) e[i] = pw_entry_ready();
 	pw_run(900);
 	s[0]->mode = PW_RESET;
-	s[1]->work_ms = s[2]->work_ms = 50; /* who fails at once looks best */
+	s[1]->work_ms = s[2]->work_ms = 50; /* the server that fails at once looks fastest */
 	for (i = 0; i < 40 && s[0]->arrivals < 1; i++) pw_status_of_key(e[0], "k1");
 	pw_run(20);
 	for (i = 0; i < 40 && s[0]->arrivals < 2; i++) pw_status_of_key(e[1], "k1");
@@ -45,7 +46,7 @@
 	CU_ASSERT(pw_where_names(b, a->ip));
 	pw_entry_kill(b, SIGTERM);
 	pw_run(700);
-	CU_ASSERT(!pw_where_names(a, b->ip)); /* it drains: told at its next heartbeat */
+	CU_ASSERT(!pw_where_names(a, b->ip)); /* its heartbeat reports the drain */
 	pw_entry_kill(b, SIGKILL);
 	pw_end();
 }
@@ -66,7 +67,8 @@
 	pw_end();
 }
 
-/* The store turns one instance away: it lives on what the other passes on, and its age. */
+/* The store refuses one instance, which then relies on the updates and confirmations of the
+ * other. */
 static void peers_pass_on_what_the_store_does_not_tell(void)
 {
 	char settings[128];
@@ -97,8 +99,8 @@
 	pw_end();
 }
 
-/* An entry that is gone has no value: the frame check of the links refused such items, and with
- * them all that came along. */
+/* A deleted entry has no value. The frame check of the links refused such items, and with them
+ * all other items of the frame. */
 static void peers_pass_on_that_a_server_is_gone(void)
 {
 	char settings[64];
@@ -135,34 +137,35 @@
 	pw_conf_write();
 }
 
-/* Each call to the store is paid for: three instances watch for all, others take over. */
+/* Each call to the store costs money: three instances watch it for all, and others take
+ * over. */
 static void few_watch_for_all_and_others_take_over(void)
 {
 	struct pw_entry *e[6];
-	int i, killed = 0;
+	int i, halted = 0;
 
 	pw_init();
 	pw_server_add("app", 0);
 	for (i = 0; i < 6; i++) e[i] = pw_entry_ready();
 	pw_run(1000);
-	CU_ASSERT_EQUAL(pw_store_waiting(), 6); /* two lists each */
+	CU_ASSERT_EQUAL(pw_store_waiting(), 6); /* two watches each */
 	change_keys("[\"second\"]");
 	pw_run(400);
 	for (i = 0; i < 6; i++) CU_ASSERT_EQUAL(pw_status_of_key(e[i], "second"), 200);
 	for (i = 0; i < 6; i++) {
 		if (pw_metric(e[i], "saddlehead_watches") != 1) continue;
 		pw_entry_kill(e[i], SIGSTOP);
-		killed |= 1 << i;
+		halted |= 1 << i;
 	}
-	CU_ASSERT(killed != 0);
+	CU_ASSERT(halted != 0);
 	change_keys("[\"third\"]");
 	pw_run(2000);
 	for (i = 0; i < 6; i++)
-		if (!(killed >> i & 1)) CU_ASSERT_EQUAL(pw_status_of_key(e[i], "third"), 200);
+		if (!(halted >> i & 1)) CU_ASSERT_EQUAL(pw_status_of_key(e[i], "third"), 200);
 	pw_end();
 }
 
-/* All watches are silent; somebody's listing shows that a server is gone. */
+/* All watches are silent, and only a listing shows that a server is gone. */
 static void silent_watches_hide_no_server_that_is_gone(void)
 {
 	struct pw_server *s[2];
@@ -206,7 +209,7 @@
 	pw_init();
 	for (i = 0; i < 2; i++) {
 		s[i] = pw_server_add("llm", 1);
-		s[i]->work_ms = 200; /* a prompt that is long read */
+		s[i]->work_ms = 200; /* time to read a long prompt */
 		s[i]->events = 2;
 	}
 	a = pw_entry_ready();
@@ -240,8 +243,8 @@
 	pw_end();
 }
 
-/* Each call to the store is paid for: all know each other by a few keys, at few calls a start.
- */
+/* Each call to the store costs money: all instances find each other by a few keys, with few
+ * calls per start. */
 static void many_that_start_together_ask_the_store_little(void)
 {
 	struct pw_entry *e[7];
@@ -279,7 +282,7 @@
 	pw_end();
 }
 
-/* What says that it is an instance, at no address, was counted as one and tried for ever. */
+/* A sender without a valid address was counted as an instance, and connected to for ever. */
 static void a_heartbeat_without_an_address_is_refused(void)
 {
 	struct pw_entry *e;
@@ -303,9 +306,9 @@
 	pw_end();
 }
 
-#define UNDER_WAY 12 /* twice the places of a server */
+#define IN_FLIGHT 12 /* twice the slots of a server */
 
-/* Another instance's calls that have not ended are known from its whole messages. */
+/* Calls in flight at another instance are known from its full load messages. */
 static void calls_under_way_elsewhere_are_counted(void)
 {
 	struct pw_server *busy, *slow;
@@ -317,7 +320,7 @@
 	busy->mode = PW_HANG;
 	for (i = 0; i < 2; i++) e[i] = pw_entry_ready();
 	pw_run(800);
-	for (i = 0; i < UNDER_WAY; i++) pw_ask(e[0], "POST", "/unsafe/", 9000);
+	for (i = 0; i < IN_FLIGHT; i++) pw_ask(e[0], "POST", "/unsafe/", 9000);
 	pw_run(100);
 	slow = pw_server_add("app", 0);
 	slow->work_ms = 60;
--- a/test/test_standby.c
+++ b/test/test_standby.c
@@ -1,13 +1,13 @@
-/* One of a large fleet: who takes callers, informs the rest and asks the store. */
+/* Roles in a large fleet: which instances are active, forward updates and call the store. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
 #include "pw_peer.h"
 
-#define WIDE 20 /* peers: more than callers are sent to */
+#define PEERS 20 /* more than callers are sent to */
 
-/* An entry on a smaller link than all the others, which take callers. */
-static struct pw_entry *entry_among_wide(struct pw_peer **p, int store_up)
+/* Starts an entry on a narrower link than all peers, which accept callers. */
+static struct pw_entry *entry_on_narrow_link(struct pw_peer **p, int store_up)
 {
 	struct pw_entry *e;
 	int i;
@@ -16,7 +16,7 @@
 	pw_server_add("app", 0);
 	pw_settings("limits.linkMbps=50\n");
 	e = pw_entry_ready();
-	for (i = 0; i < WIDE; i++) {
+	for (i = 0; i < PEERS; i++) {
 		p[i] = pw_peer_new(e, 0);
 		p[i]->link_mbps = 100;
 		p[i]->takes_callers = 1;
@@ -26,51 +26,52 @@
 	return e;
 }
 
-static int beaten_since(struct pw_peer **p, int64_t since_us)
+static int heartbeats_since(struct pw_peer **p, int64_t since_us)
 {
 	int i, n = 0;
 
-	for (i = 0; i < WIDE; i++) n += p[i]->beat_us >= since_us;
+	for (i = 0; i < PEERS; i++) n += p[i]->beat_us >= since_us;
 	return n;
 }
 
-static int named(struct pw_entry *e, struct pw_peer **p)
+static int count_named(struct pw_entry *e, struct pw_peer **p)
 {
 	int i, n = 0;
 
-	for (i = 0; i < WIDE; i++) n += pw_where_names(e, p[i]->ip);
+	for (i = 0; i < PEERS; i++) n += pw_where_names(e, p[i]->ip);
 	return n;
 }
 
-/* Each that takes callers tells all the others what it sends where: hundreds that do hear each
- * other late and fill their links. */
+/* Each active instance sends its loads to all others: hundreds of active ones would fill their
+ * links, and get these messages late. */
 static void one_of_many_stands_by(void)
 {
-	struct pw_peer *p[WIDE];
-	struct pw_entry *e = entry_among_wide(p, 1);
+	struct pw_peer *p[PEERS];
+	struct pw_entry *e = entry_on_narrow_link(p, 1);
 	int64_t now = clock_us();
 	int i;
 
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_active"), 0);
 	CU_ASSERT(!pw_where_names(e, e->ip));
-	CU_ASSERT_EQUAL(named(e, p), 16);
+	CU_ASSERT_EQUAL(count_named(e, p), 16);
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200); /* a caller with an older list */
 	pw_run(1500);
-	CU_ASSERT_EQUAL(beaten_since(p, now), 19);
+	CU_ASSERT_EQUAL(heartbeats_since(p, now), 19);
 	for (i = 0; i < 5; i++) pw_peer_stop(p[i]);
 	pw_run(2500);
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_active"), 1);
 	CU_ASSERT(pw_where_names(e, e->ip));
-	CU_ASSERT_EQUAL(named(e, p), 15);
+	CU_ASSERT_EQUAL(count_named(e, p), 15);
 	pw_peers_end();
 	pw_end();
 }
 
-/* All of a fleet start: hundreds that list from the store at once are not needed, as callers
- * come seconds later. Whoever hears nothing of the lists asks for itself. */
+/* When a whole fleet starts, it is no use that hundreds of instances list from the store at
+ * once, as callers arrive seconds later. An instance that receives no lists then lists them
+ * itself. */
 static void on_the_first_start_few_list(void)
 {
-	struct pw_peer *p[WIDE];
+	struct pw_peer *p[PEERS];
 	struct pw_entry *e;
 	char settings[128];
 	int i;
@@ -81,7 +82,7 @@
 		   "limits.linkMbps=10\nfirstStart=true\nseedNodes=%s:1\n", pw_ip(100));
 	pw_settings(settings);
 	e = pw_entry_start();
-	for (i = 0; i < WIDE; i++) {
+	for (i = 0; i < PEERS; i++) {
 		p[i] = pw_peer_new(e, 0);
 		p[i]->link_mbps = 100;
 		p[i]->takes_callers = p[i]->store_up = 1;
@@ -95,11 +96,11 @@
 	pw_end();
 }
 
-/* The store answers nobody: what asks it on for all is two of them. */
+/* While the store answers nobody, only two instances keep calling it for all. */
 static void a_store_that_is_away_is_left_to_few(void)
 {
-	struct pw_peer *p[WIDE];
-	struct pw_entry *e = entry_among_wide(p, 0);
+	struct pw_peer *p[PEERS];
+	struct pw_entry *e = entry_on_narrow_link(p, 0);
 	int calls;
 
 	pw_store.mode = PW_STORE_DOWN;
@@ -113,15 +114,16 @@
 }
 
 #define MANY 60
-#define BEAT_MS 400 /* of a hub to another one; to most others each third one is left */
-#define LATE_MS 300
+/* From one hub to another; most others get every third heartbeat only. */
+#define HEARTBEAT_MS 400
+#define SLACK_MS 300
 
-/* The only wide one among many: it takes callers, and all hear from it. */
+/* The entry has the only wide link among many: it is active, and a hub. */
 static void a_hub_beats_seldom_to_most_that_stand_by(void)
 {
 	struct pw_peer *p[MANY];
 	struct pw_entry *e;
-	int i, often = 0;
+	int i, full_rate = 0;
 
 	pw_init();
 	pw_server_add("app", 0);
@@ -136,40 +138,40 @@
 	for (i = 0; i < MANY; i++) p[i]->gap_us = 0;
 	pw_run(4000);
 	for (i = 0; i < MANY; i++) {
-		often += p[i]->gap_us < (BEAT_MS + LATE_MS) * 1000;
-		CU_ASSERT(p[i]->gap_us < (3 * BEAT_MS + LATE_MS) * 1000);
+		full_rate += p[i]->gap_us < (HEARTBEAT_MS + SLACK_MS) * 1000;
+		CU_ASSERT(p[i]->gap_us < (3 * HEARTBEAT_MS + SLACK_MS) * 1000);
 	}
-	CU_ASSERT(often >= 8); /* the other hubs */
-	CU_ASSERT(often <= MANY * 2 / 3);
+	CU_ASSERT(full_rate >= 8); /* the other hubs */
+	CU_ASSERT(full_rate <= MANY * 2 / 3);
 	pw_peers_end();
 	pw_end();
 }
 
-#define QUIET_RENEW_MS 8000 /* heartbeats of one that stands by come each 1.2 s */
+#define STANDBY_RENEW_MS 8000 /* the heartbeats of a standby instance are 1.2 s apart */
 
-/* Hubs that heard nothing any more of one that stands by: it wrote on to links that carried
- * nothing, for good. */
+/* Hubs received nothing more from a standby instance, which kept writing to links that carried
+ * nothing, for ever. */
 static void links_of_one_that_stands_by_are_made_anew(void)
 {
-	struct pw_peer *p[WIDE];
-	struct pw_entry *e = entry_among_wide(p, 1);
+	struct pw_peer *p[PEERS];
+	struct pw_entry *e = entry_on_narrow_link(p, 1);
 	int64_t now;
 	int i;
 
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_active"), 0);
-	for (i = 0; i < WIDE; i++) pw_peer_silence(p[i]);
+	for (i = 0; i < PEERS; i++) pw_peer_silence(p[i]);
 	pw_run(100);
 	now = clock_us();
-	pw_run(QUIET_RENEW_MS);
-	CU_ASSERT_EQUAL(beaten_since(p, now), 19);
+	pw_run(STANDBY_RENEW_MS);
+	CU_ASSERT_EQUAL(heartbeats_since(p, now), 19);
 	pw_peers_end();
 	pw_end();
 }
 
-#define IDLE_MS 32000 /* nothing came for half a minute, and some way */
+#define IDLE_MS 32000 /* more than half a minute, after which an idle connection is closed */
 
-/* The other end left a link, and its word of that did not get through: such connections stayed
- * open for good. */
+/* The other side closed a connection and its packets were lost: such connections stayed open
+ * for ever. */
 static void a_connection_that_carries_nothing_is_closed(void)
 {
 	struct pw_server *s;
--- a/test/test_verdicts.c
+++ b/test/test_verdicts.c
@@ -37,7 +37,7 @@
 /* Some link is disturbed, or mended. */
 static void disturb(struct day *d)
 {
-	struct proxy *way = d->f.way[g_rand_int_range(d->rand, 0, RELAYED)];
+	struct proxy *way = d->f.relay[g_rand_int_range(d->rand, 0, RELAYED)];
 
 	proxy_set(way, g_rand_int_range(d->rand, 0, PROXY_MODES));
 }
@@ -74,7 +74,7 @@
 	g_snprintf(d->innocent, sizeof d->innocent, "what everybody sends %d", n);
 	pw_crash.body = d->guilty;
 	for (i = 0; i < ENDS; i++) end_one(d);
-	for (i = 0; i < RELAYED; i++) proxy_set(d->f.way[i], PROXY_OK);
+	for (i = 0; i < RELAYED; i++) proxy_set(d->f.relay[i], PROXY_OK);
 	pw_run(JUDGED_MS);
 	pw_crash.body = NULL; /* what is not blamed is served */
 	s = list_alone(5);
