--- a/src/internal/mesh_impl.h
+++ b/src/internal/mesh_impl.h
@@ -49,10 +49,10 @@
 	int64_t candidate_us; /* since when it has been waited for; 0: it has not */
 	struct cn link;       /* to the member; only this instance writes on it */
 	int64_t next_connect_us;
-	int64_t link_up_us;              /* when the link last came up */
-	int refused;                     /* a connection was refused since the last heartbeat */
-	int64_t acked_us;                /* newest stamp of this instance that it has echoed */
-	int64_t fetch_after_us;          /* it refused a copy, and is not asked again before */
+	int64_t link_up_us;     /* when the link last came up */
+	int refused;            /* the last connection was refused; cleared by a heartbeat */
+	int64_t acked_us;       /* newest stamp of this instance that it has echoed */
+	int64_t fetch_after_us; /* it refused a copy, and is not asked again before */
 	struct board_revs reported_revs; /* of its lists, as another instance reported */
 	GHashTable *loads;               /* id -> struct peer_load */
 	GHashTable *outcomes;            /* id -> struct peer_outcomes */
