--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -1,7 +1,7 @@
 #include "entry.h"
 #include "entry_metrics.h"
 #include "be.h"
-#include "board.h"
+#include "cache.h"
 #include "clock.h"
 #include "dialect.h"
 #include "ev.h"
@@ -54,12 +54,12 @@
 
 static int conf_is_fresh(void)
 {
-	return !cfg->fail_closed || clock_us() - board_confirmed_us() < cfg->revoke_us;
+	return !cfg->fail_closed || clock_us() - cache_confirmed_us() < cfg->revoke_us;
 }
 
 static int is_ready(void)
 {
-	return !drain_us && board_conf() && be_all()->len && conf_is_fresh() && poison_known();
+	return !drain_us && cache_conf() && be_all()->len && conf_is_fresh() && poison_known();
 }
 
 static void on_state(struct ev_timer *t)
@@ -99,7 +99,7 @@
 
 	dl_read_where(&h->hp.head, &w);
 	n = mesh_addresses(all, ADDRESSES_CANDIDATES, w.region[0] ? w.region : NULL,
-			   board_conf() && conf_binds_regions(board_conf(), w.host));
+			   cache_conf() && conf_binds_regions(cache_conf(), w.host));
 	if (!n) {
 		hs_answer(h, 503, NULL, "", 0);
 		return;
@@ -151,7 +151,7 @@
 	ready.limits = directory.limits = metrics.limits = inner;
 	ready.on_request = directory.on_request = on_question;
 	metrics.on_request = metrics_on_request;
-	board_on_conf = on_conf;
+	cache_on_conf = on_conf;
 }
 
 static int listen_at(struct hs_listener *l, const struct sockaddr_in *at, const char *what,
@@ -186,8 +186,8 @@
 
 static void set_needs(const struct entry_cfg *c)
 {
-	be_need_us = c->drain_us * LEAVING_PART;
-	be_drain_need_us = c->drain_dc_us * DRAINED_PART;
+	be_last_resort_us = c->drain_us * LEAVING_PART;
+	be_drain_grace_us = c->drain_dc_us * DRAINED_PART;
 	pace_set_cold(c->cold_over, c->cold_slack);
 }
 
@@ -203,12 +203,12 @@
 	limit_start();
 	ro_start(c);
 	be_on_leaving = rq_on_leaving;
-	be_on_ended = rq_on_ended;
+	be_on_incarnation_end = rq_on_ended;
 	probe_on_report = rq_on_report;
 	be_is_instance = mesh_is_instance;
 	ev_on_wake = on_wake;
 	init_listeners();
-	board_init();
+	cache_init();
 	rq_init(c);
 	rq_poison_start(c->first_start);
 	rc = listen_all(e);
--- a/src/entry/metrics.c
+++ b/src/entry/metrics.c
@@ -1,4 +1,4 @@
-#include "board.h"
+#include "cache.h"
 #include "clock.h"
 #include "entry_metrics.h"
 #include "jlog.h"
@@ -12,14 +12,14 @@
 static void answer_metrics(struct hs *h)
 {
 	GString *out = g_string_new(NULL);
-	int64_t confirmed = board_confirmed_us();
+	int64_t confirmed = cache_confirmed_us();
 
 	met_write(out);
 	g_string_append_printf(out,
 			       "# TYPE saddlehead_log_lines_dropped_total counter\n"
 			       "saddlehead_log_lines_dropped_total %" G_GUINT64_FORMAT "\n",
 			       (guint64)jlog_dropped());
-	if (confirmed != BOARD_NEVER)
+	if (confirmed != CACHE_NEVER)
 		g_string_append_printf(out,
 				       "# TYPE saddlehead_configuration_age_seconds gauge\n"
 				       "saddlehead_configuration_age_seconds %.3f\n",
--- a/src/fleet/be.c
+++ b/src/fleet/be.c
@@ -1,6 +1,6 @@
-/* Backend servers that are known, by their names and by their services. */
+/* The table of backend servers, by id and by service. */
 #include "be.h"
-#include "be_life.h"
+#include "be_incarnation.h"
 #include "be_ring.h"
 #include "clock.h"
 #include "hostport.h"
@@ -8,24 +8,25 @@
 #include <errno.h>
 #include <string.h>
 
-/* An engine that leaves is gone by then; one that doesn't is out for so long. Less, and it
- * would get new work before its end, once its streams were moved and nobody asked any more. */
+/* How long a suspect engine gets no new work. One that really leaves is gone by then. With
+ * less, it would get new work before it stops, as nobody probes it once its streams are moved.
+ */
 #define SUSPECT_US 3000000
-/* What is listed after the first entry by more is new, or back, and perhaps cold; what was
- * there at this instance's start has served all the while. */
-#define FIRST_LIST_US 1000000
-#define FORGET_US 30000000 /* a gone entry is remembered: late word must not revive it */
+/* A server listed later than this after the first entry is new or has returned, and may be
+ * cold; those listed earlier were in use before this instance started. */
+#define INITIAL_LIST_US 1000000
+#define FORGET_US 30000000 /* a gone server is kept, so that late messages don't revive it */
 
 void (*be_on_leaving)(struct be *b);
-void (*be_on_ended)(struct be *b);
+void (*be_on_incarnation_end)(struct be *b);
 void (*be_on_new)(struct be *b);
 uint32_t (*be_ro_part)(const struct be *b);
 int (*be_is_instance)(const struct sockaddr_in *at);
 
 static GHashTable *by_id, *by_service;
 static GPtrArray *all;
-static int any_lapsed;   /* some entry has, and is not known to be back */
-static int64_t first_us; /* when the first entry came; 0: none yet */
+static int any_lapsed;          /* some entry may still be lapsed */
+static int64_t first_listed_us; /* when the first entry was added; 0: none yet */
 
 static void init(void)
 {
@@ -58,7 +59,7 @@
 	return g_hash_table_lookup(by_id, id);
 }
 
-const GPtrArray *be_of(const char *service)
+const GPtrArray *be_of_service(const char *service)
 {
 	init();
 	return g_hash_table_lookup(by_service, service);
@@ -86,7 +87,7 @@
 	for (i = all->len; i-- > 0;) {
 		struct be *b = g_ptr_array_index(all, i);
 
-		if (b->state == BE_GONE && b->refs == 1 && now - b->since_us > FORGET_US)
+		if (b->state == BE_GONE && b->refs == 1 && now - b->state_since_us > FORGET_US)
 			forget(b);
 	}
 }
@@ -114,16 +115,17 @@
 	b->region = be_region_of(i->zone);
 	b->version = g_strdup(i->version ? i->version : "");
 	b->sa = *sa;
-	b->since_us = clock_us();
-	b->drained_us = be_dc_is_drained(b->zone) ? b->since_us : 0;
-	if (be_version_is_barred(b->service, b->version)) b->barred_us = b->since_us;
+	b->state_since_us = clock_us();
+	b->drained_us = be_dc_is_drained(b->zone) ? b->state_since_us : 0;
+	if (be_version_is_blocked(b->service, b->version)) b->blocked_us = b->state_since_us;
 	if (be_ro_part) b->ro_part = be_ro_part(b);
-	if (!first_us) first_us = b->since_us;
-	if (b->since_us - first_us > FIRST_LIST_US) b->back_us = b->since_us;
+	if (!first_listed_us) first_listed_us = b->state_since_us;
+	if (b->state_since_us - first_listed_us > INITIAL_LIST_US)
+		b->available_us = b->state_since_us;
 	g_hash_table_insert(by_id, b->id, b);
 	g_ptr_array_add(all, b);
 	add_to_service(b);
-	be_know_dc(b->zone);
+	be_add_dc(b->zone);
 	be_ring_add(b);
 	return b;
 }
@@ -132,57 +134,58 @@
 {
 	static const char *const names[] = {"ready", "leaving", "gone"};
 	GString *g;
-	int began = !be_leaves(b) && s != BE_READY;
+	int starts_leaving = !be_is_leaving(b) && s != BE_READY;
 
 	b->lapsed_us = 0;
 	if (b->state == s) return;
 	b->state = s;
-	b->since_us = clock_us();
+	b->state_since_us = clock_us();
 	g = jlog_begin("fleet", "backend_state");
 	jlog_str(g, "backend", b->id);
 	jlog_str(g, "service", b->service);
 	jlog_str(g, "state", names[s]);
 	jlog_str(g, "said_by", said_by);
 	jlog_end(g);
-	if (began && be_on_leaving) be_on_leaving(b);
+	if (starts_leaving && be_on_leaving) be_on_leaving(b);
 }
 
-int be_is_life(const struct be *b, int64_t born_ms)
+int be_is_incarnation(const struct be *b, int64_t born_ms)
 {
-	return !born_ms || !b->born_ms || born_ms == b->born_ms;
+	return !born_ms || !b->incarnation_ms || born_ms == b->incarnation_ms;
 }
 
-void be_end_life(struct be *b, const char *said_by)
+void be_end_incarnation(struct be *b, const char *said_by)
 {
 	GString *g;
 
 	be_ref(b);
-	be_life_over(b->id, b->born_ms);
+	be_incarnation_end(b->id, b->incarnation_ms);
 	forget(b);
 	g = jlog_begin("fleet", "backend_life_over");
 	jlog_str(g, "backend", b->id);
-	jlog_int(g, "born_ms", b->born_ms);
+	jlog_int(g, "born_ms", b->incarnation_ms);
 	jlog_str(g, "said_by", said_by);
 	jlog_end(g);
-	if (be_on_ended) be_on_ended(b);
+	if (be_on_incarnation_end) be_on_incarnation_end(b);
 	b->state = BE_GONE;
 	be_unref(b);
 }
 
-/* The life that an entry names, or NULL where that one is over. */
-static struct be *life_of(const struct be_info *i, const struct sockaddr_in *sa)
+/* The server of the incarnation that the entry names, added if it is new; NULL if that
+ * incarnation has ended. */
+static struct be *incarnation_of(const struct be_info *i, const struct sockaddr_in *sa)
 {
 	struct be *b = be_find(i->id);
 
-	if (be_life_is_over(i->id, i->born_ms)) return NULL;
-	if (b && !be_is_life(b, i->born_ms)) {
-		if (i->born_ms < b->born_ms) return NULL;
-		be_end_life(b, "a newer entry");
+	if (be_incarnation_ended(i->id, i->incarnation_ms)) return NULL;
+	if (b && !be_is_incarnation(b, i->incarnation_ms)) {
+		if (i->incarnation_ms < b->incarnation_ms) return NULL;
+		be_end_incarnation(b, "a newer entry");
 		b = NULL;
 	}
 	if (b) return b;
 	b = add(i, sa);
-	b->born_ms = i->born_ms;
+	b->incarnation_ms = i->incarnation_ms;
 	if (be_on_new) be_on_new(b);
 	return b;
 }
@@ -197,46 +200,47 @@
 	if (hostport_parse(i->address, &sa)) return -EINVAL;
 	if (be_is_instance && be_is_instance(&sa)) return -EINVAL;
 	forget_old(now);
-	b = life_of(i, &sa);
+	b = incarnation_of(i, &sa);
 	if (!b) return 0;
-	if (b->unreadable || b->state == BE_GONE) b->back_us = now;
+	if (b->unreadable || b->state == BE_GONE) b->available_us = now;
 	b->slots = i->slots;
-	if (i->born_ms) b->born_ms = i->born_ms;
+	if (i->incarnation_ms) b->incarnation_ms = i->incarnation_ms;
 	b->unreadable = 0;
 	b->lapsed_us = 0;
-	if (i->cold_us) be_cold(b, i->cold_us);
+	if (i->cold_us) be_set_cold(b, i->cold_us);
 	if (i->leaving)
 		set_state(b, BE_LEAVING, "platform");
-	else if (b->state == BE_GONE) /* lapsed while the platform was away, and stands again */
-		set_state(b, b->leaves_by_word ? BE_LEAVING : BE_READY, "platform");
-	if (be_life_is_leaving(b->id, b->born_ms)) be_leaving(b, "a peer, earlier");
+	else if (b->state == BE_GONE) /* lapsed while the store was down, and is listed again */
+		set_state(b, b->leaving_reported ? BE_LEAVING : BE_READY, "platform");
+	if (be_incarnation_is_leaving(b->id, b->incarnation_ms))
+		be_set_leaving(b, "a peer, earlier");
 	return 0;
 }
 
-void be_leaving(struct be *b, const char *said_by)
+void be_set_leaving(struct be *b, const char *said_by)
 {
-	b->leaves_by_word = 1;
+	b->leaving_reported = 1;
 	if (b->state == BE_READY) set_state(b, BE_LEAVING, said_by);
 }
 
-void be_told_leaving(const char *id, int64_t born_ms, const char *said_by)
+void be_apply_leaving(const char *id, int64_t born_ms, const char *said_by)
 {
 	struct be *b = be_find(id);
 
-	if (b && be_is_life(b, born_ms))
-		be_leaving(b, said_by);
-	else if (!b || born_ms > b->born_ms)
-		be_life_leaves(id, born_ms);
+	if (b && be_is_incarnation(b, born_ms))
+		be_set_leaving(b, said_by);
+	else if (!b || born_ms > b->incarnation_ms)
+		be_incarnation_set_leaving(id, born_ms);
 }
 
-void be_unreadable(const char *id)
+void be_set_unreadable(const char *id)
 {
 	struct be *b = be_find(id);
 
 	if (b) b->unreadable = 1;
 }
 
-void be_lapsed(const char *id)
+void be_set_lapsed(const char *id)
 {
 	struct be *b = be_find(id);
 	GString *g;
@@ -260,26 +264,26 @@
 	for (i = 0; i < all->len; i++) {
 		struct be *b = g_ptr_array_index(all, i);
 
-		if (b->lapsed_us && now - b->lapsed_us > be_need_us)
+		if (b->lapsed_us && now - b->lapsed_us > be_last_resort_us)
 			set_state(b, BE_GONE, "its entry did not come back");
 		any_lapsed |= b->lapsed_us != 0;
 	}
 }
 
-void be_told_suspect(const char *id, int64_t born_ms, const char *said_by)
+void be_apply_suspect(const char *id, int64_t born_ms, const char *said_by)
 {
 	struct be *b = be_find(id);
 
-	if (b && be_is_life(b, born_ms)) be_suspect(b, said_by);
+	if (b && be_is_incarnation(b, born_ms)) be_set_suspect(b, said_by);
 }
 
-void be_suspect(struct be *b, const char *said_by)
+void be_set_suspect(struct be *b, const char *said_by)
 {
 	int64_t now = clock_us();
 	GString *g;
 
 	if (b->state != BE_READY) return;
-	if (be_leaves(b)) {
+	if (be_is_leaving(b)) {
 		b->suspect_until_us = now + SUSPECT_US;
 		return;
 	}
@@ -293,33 +297,33 @@
 	if (be_on_leaving) be_on_leaving(b);
 }
 
-int be_leaves(const struct be *b)
+int be_is_leaving(const struct be *b)
 {
-	if (b->state != BE_READY || b->drained_us || b->barred_us) return 1;
+	if (b->state != BE_READY || b->drained_us || b->blocked_us) return 1;
 	return b->suspect_until_us > clock_us();
 }
 
-int64_t be_left_for_us(const struct be *b)
+int64_t be_leaving_for_us(const struct be *b)
 {
-	int64_t since_us = b->state == BE_READY ? b->suspect_us : b->since_us;
+	int64_t since_us = b->state == BE_READY ? b->suspect_us : b->state_since_us;
 
 	if (since_us - b->suspect_us < SUSPECT_US) since_us = b->suspect_us;
 	if (b->state == BE_READY && b->drained_us) since_us = b->drained_us;
-	if (b->state == BE_READY && b->barred_us) since_us = b->barred_us;
+	if (b->state == BE_READY && b->blocked_us) since_us = b->blocked_us;
 	return clock_us() - since_us;
 }
 
-void be_cold(struct be *b, int64_t for_us)
+void be_set_cold(struct be *b, int64_t for_us)
 {
 	b->cold_until_us = clock_us() + for_us;
 }
 
-int be_limited(const struct be *b)
+int be_is_limited(const struct be *b)
 {
 	return b->limit.to_us && b->limit.per_s >= 0;
 }
 
-void be_gone(const char *id)
+void be_set_gone(const char *id)
 {
 	struct be *b = be_find(id);
 
--- a/src/fleet/be_drain.c
+++ b/src/fleet/be_drain.c
@@ -1,23 +1,23 @@
-/* Data centres that operators drain: nothing new goes to their backend servers. */
+/* Data centres drained by operators: their backend servers get no new work. */
 #include "be.h"
 #include "clock.h"
 #include "jlog.h"
 #include "met.h"
 #include <string.h>
 
-int64_t be_drain_need_us;
+int64_t be_drain_grace_us;
 
-static GHashTable *drained; /* names of data centres */
-static GHashTable *known;   /* the same of those where servers stand, or stood */
+static GHashTable *drained_dcs; /* names of drained data centres */
+static GHashTable *listed_dcs;  /* names of data centres that have or had servers */
 
 int be_dc_is_drained(const char *dc)
 {
-	return drained && g_hash_table_contains(drained, dc);
+	return drained_dcs && g_hash_table_contains(drained_dcs, dc);
 }
 
 int be_only_drained(const char *service)
 {
-	const GPtrArray *list = be_of(service);
+	const GPtrArray *list = be_of_service(service);
 	uint32_t i;
 	int any = 0;
 
@@ -31,21 +31,23 @@
 	return any;
 }
 
-void be_know_dc(const char *name)
+void be_add_dc(const char *name)
 {
-	if (!known) known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	if (!g_hash_table_contains(known, name)) g_hash_table_add(known, g_strdup(name));
+	if (!listed_dcs)
+		listed_dcs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	if (!g_hash_table_contains(listed_dcs, name))
+		g_hash_table_add(listed_dcs, g_strdup(name));
 }
 
-static void add_all(GPtrArray *names, GHashTable *of, GHashTable *but)
+static void append_names(GPtrArray *names, GHashTable *set, GHashTable *except)
 {
 	GHashTableIter it;
 	gpointer name;
 
-	if (!of) return;
-	g_hash_table_iter_init(&it, of);
+	if (!set) return;
+	g_hash_table_iter_init(&it, set);
 	while (g_hash_table_iter_next(&it, &name, NULL))
-		if (!but || !g_hash_table_contains(but, name))
+		if (!except || !g_hash_table_contains(except, name))
 			g_ptr_array_add(names, g_strdup(name));
 }
 
@@ -53,18 +55,19 @@
 {
 	GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
 
-	add_all(names, known, NULL);
-	add_all(names, drained, known);
+	append_names(names, listed_dcs, NULL);
+	append_names(names, drained_dcs, listed_dcs);
 	return names;
 }
 
-static void set(const char *dc, int on)
+static void set_drained(const char *dc, int on)
 {
-	if (!drained) drained = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	if (!drained_dcs)
+		drained_dcs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	if (on)
-		g_hash_table_add(drained, g_strdup(dc));
+		g_hash_table_add(drained_dcs, g_strdup(dc));
 	else
-		g_hash_table_remove(drained, dc);
+		g_hash_table_remove(drained_dcs, dc);
 }
 
 static void log_drain(const char *dc, int on)
@@ -75,18 +78,18 @@
 	jlog_end(g);
 }
 
-static void drain(struct be *b, int on)
+static void set_server_drained(struct be *b, int on)
 {
-	int left = be_leaves(b);
+	int was_leaving = be_is_leaving(b);
 
 	b->drained_us = on ? clock_us() : 0;
-	if (!on) b->back_us = clock_us(); /* it may have turned cold meanwhile */
-	if (on && !left && be_on_leaving) be_on_leaving(b);
+	if (!on) b->available_us = clock_us(); /* it may have become cold meanwhile */
+	if (on && !was_leaving && be_on_leaving) be_on_leaving(b);
 }
 
-int be_may_go_on(const struct be *b)
+int be_may_continue(const struct be *b)
 {
-	return !b->drained_us || clock_us() - b->drained_us < be_drain_need_us;
+	return !b->drained_us || clock_us() - b->drained_us < be_drain_grace_us;
 }
 
 void be_drain_dc(const char *dc, int on)
@@ -94,12 +97,12 @@
 	uint32_t i;
 
 	if (be_dc_is_drained(dc) == on) return;
-	set(dc, on);
-	met_set(MET_G_DRAINED, g_hash_table_size(drained));
+	set_drained(dc, on);
+	met_set(MET_G_DRAINED, g_hash_table_size(drained_dcs));
 	log_drain(dc, on);
 	for (i = 0; i < be_all()->len; i++) {
 		struct be *b = g_ptr_array_index(be_all(), i);
 
-		if (!strcmp(b->zone, dc)) drain(b, on);
+		if (!strcmp(b->zone, dc)) set_server_drained(b, on);
 	}
 }
--- a/src/fleet/be_region.c
+++ b/src/fleet/be_region.c
@@ -1,4 +1,4 @@
-/* In which region each data centre lies, as the settings tell. */
+/* The region of each data centre, from the settings. */
 #include "be.h"
 
 static GHashTable *regions; /* data centre -> region */
--- a/src/fleet/be_ring.c
+++ b/src/fleet/be_ring.c
@@ -1,19 +1,19 @@
-/* Servers by service and data centre, each data centre's in the order of their hashes: an
- * instance looks at some of them from a place of its own on. */
+/* Servers by service and data centre, those of a data centre ordered by hash, so that each
+ * instance can start its scan at a place of its own. */
 #include "be.h"
 #include "be_ring.h"
 #include <string.h>
 
 struct ring {
 	char *zone;
-	GPtrArray *of; /* of struct be, by hash */
+	GPtrArray *servers; /* struct be, ordered by hash */
 };
 
 static GHashTable *rings; /* service -> GPtrArray of struct ring */
 
 static uint32_t hash_of(const struct be *b)
 {
-	return g_str_hash(b->id) * 2654435761u; /* ids that follow each other lie apart */
+	return g_str_hash(b->id) * 2654435761u; /* spreads consecutive ids */
 }
 
 static void free_ring(gpointer p)
@@ -21,7 +21,7 @@
 	struct ring *r = p;
 
 	g_free(r->zone);
-	g_ptr_array_free(r->of, TRUE);
+	g_ptr_array_free(r->servers, TRUE);
 	g_free(r);
 }
 
@@ -47,15 +47,15 @@
 	return NULL;
 }
 
-/* The first place whose server has that hash or a greater one. */
-static uint32_t place_of(const struct ring *r, uint32_t hash)
+/* Index of the first server whose hash is not below the given one. */
+static uint32_t lower_bound(const struct ring *r, uint32_t hash)
 {
-	uint32_t from = 0, to = r->of->len;
+	uint32_t from = 0, to = r->servers->len;
 
 	while (from < to) {
 		uint32_t mid = (from + to) / 2;
 
-		if (hash_of(g_ptr_array_index(r->of, mid)) < hash)
+		if (hash_of(g_ptr_array_index(r->servers, mid)) < hash)
 			from = mid + 1;
 		else
 			to = mid;
@@ -77,10 +77,10 @@
 	if (!r) {
 		r = g_new0(struct ring, 1);
 		r->zone = g_strdup(b->zone);
-		r->of = g_ptr_array_new();
+		r->servers = g_ptr_array_new();
 		g_ptr_array_add(list, r);
 	}
-	g_ptr_array_insert(r->of, (gint)place_of(r, hash_of(b)), b);
+	g_ptr_array_insert(r->servers, (gint)lower_bound(r, hash_of(b)), b);
 }
 
 void be_ring_remove(struct be *b)
@@ -89,33 +89,33 @@
 	uint32_t i;
 
 	if (!r) return;
-	for (i = place_of(r, hash_of(b)); i < r->of->len; i++) {
-		if (g_ptr_array_index(r->of, i) != b) continue;
-		g_ptr_array_remove_index(r->of, i);
+	for (i = lower_bound(r, hash_of(b)); i < r->servers->len; i++) {
+		if (g_ptr_array_index(r->servers, i) != b) continue;
+		g_ptr_array_remove_index(r->servers, i);
 		return;
 	}
 }
 
-/* 0 when f said that it has seen enough. */
-static int walk(const struct ring *r, uint32_t from, be_seen *f, void *arg)
+/* Returns 0 if f stopped the walk. */
+static int walk(const struct ring *r, uint32_t from, be_visit *f, void *arg)
 {
-	uint32_t n = r->of->len, first = n ? place_of(r, from) : 0, i;
+	uint32_t n = r->servers->len, first = n ? lower_bound(r, from) : 0, i;
 
 	for (i = 0; i < n; i++)
-		if (!f(g_ptr_array_index(r->of, (first + i) % n), arg)) return 0;
+		if (!f(g_ptr_array_index(r->servers, (first + i) % n), arg)) return 0;
 	return 1;
 }
 
-void be_walk(const char *service, const char *zone, uint32_t from, be_seen *f, void *arg)
+void be_walk(const char *service, const char *zone, uint32_t from, be_visit *f, void *arg)
 {
 	const GPtrArray *list = rings_of(service);
-	const struct ring *near = ring_of(list, zone);
+	const struct ring *local = ring_of(list, zone);
 	uint32_t i;
 
-	if (!list || (near && !walk(near, from, f, arg))) return;
+	if (!list || (local && !walk(local, from, f, arg))) return;
 	for (i = 0; i < list->len; i++) {
 		const struct ring *r = g_ptr_array_index(list, (from + i) % list->len);
 
-		if (r != near && !walk(r, from, f, arg)) return;
+		if (r != local && !walk(r, from, f, arg)) return;
 	}
 }
--- a/src/fleet/be_use.c
+++ b/src/fleet/be_use.c
@@ -1,4 +1,5 @@
-/* Servers on which this instance has something: few, whatever the size of the fleet. */
+/* The servers with runs, replicas or inbound memory of this instance: few, whatever the size of
+ * the fleet. */
 #include "be.h"
 
 static GHashTable *in_use; /* set of struct be */
@@ -10,10 +11,10 @@
 
 static int idle(const struct be *b)
 {
-	return !b->own.runs && !b->own.backup && !b->own.inbound;
+	return !b->own.runs && !b->own.replicas && !b->own.inbound;
 }
 
-void be_note_use(struct be *b)
+void be_update_use(struct be *b)
 {
 	if (!in_use) in_use = g_hash_table_new_full(NULL, NULL, unref, NULL);
 	if (idle(b))
--- a/src/fleet/be_version.c
+++ b/src/fleet/be_version.c
@@ -1,56 +1,55 @@
-/* Versions of services whose servers get no work any more, and which servers have the version
- * that is being brought in. */
+/* Blocked versions of services: their servers get no new work. */
 #include "be.h"
 #include "clock.h"
 #include <string.h>
 
-static GHashTable *barred; /* "service version" */
+static GHashTable *blocked; /* set of "service version" */
 
-static char *name_of(const char *service, const char *version)
+static char *make_name(const char *service, const char *version)
 {
 	return g_strconcat(service, " ", version, NULL);
 }
 
-int be_version_is_barred(const char *service, const char *version)
+int be_version_is_blocked(const char *service, const char *version)
 {
-	char *name = name_of(service, version);
-	int is = barred && g_hash_table_contains(barred, name);
+	char *name = make_name(service, version);
+	int found = blocked && g_hash_table_contains(blocked, name);
 
 	g_free(name);
-	return is;
+	return found;
 }
 
-static void set(const char *service, const char *version, int on)
+static void set_blocked(const char *service, const char *version, int on)
 {
-	char *name = name_of(service, version);
+	char *name = make_name(service, version);
 
-	if (!barred) barred = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	if (!blocked) blocked = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	if (on) {
-		g_hash_table_add(barred, name);
+		g_hash_table_add(blocked, name);
 		return;
 	}
-	g_hash_table_remove(barred, name);
+	g_hash_table_remove(blocked, name);
 	g_free(name);
 }
 
-static void bar(struct be *b, int on)
+static void set_server_blocked(struct be *b, int on)
 {
-	int left = be_leaves(b);
+	int was_leaving = be_is_leaving(b);
 
-	b->barred_us = on ? clock_us() : 0;
-	if (on && !left && be_on_leaving) be_on_leaving(b);
+	b->blocked_us = on ? clock_us() : 0;
+	if (on && !was_leaving && be_on_leaving) be_on_leaving(b);
 }
 
-void be_bar_version(const char *service, const char *version, int on)
+void be_block_version(const char *service, const char *version, int on)
 {
-	const GPtrArray *list = be_of(service);
+	const GPtrArray *list = be_of_service(service);
 	uint32_t i;
 
-	if (be_version_is_barred(service, version) == on) return;
-	set(service, version, on);
+	if (be_version_is_blocked(service, version) == on) return;
+	set_blocked(service, version, on);
 	for (i = 0; list && i < list->len; i++) {
 		struct be *b = g_ptr_array_index(list, i);
 
-		if (!strcmp(b->version, version)) bar(b, on);
+		if (!strcmp(b->version, version)) set_server_blocked(b, on);
 	}
 }
--- a/src/fleet/bx.c
+++ b/src/fleet/bx.c
@@ -1,6 +1,6 @@
-/* What all exchanges with backend servers have in common. */
+/* The common part of all exchanges with backend servers. */
 #include "bx.h"
-#include "board.h"
+#include "cache.h"
 #include "clock.h"
 #include "dialect.h"
 #include "jlog.h"
@@ -9,22 +9,22 @@
 #include "met.h"
 #include "pace.h"
 
-#define LOG_US 1000000 /* a server may say the same in each of its answers */
+#define LOG_INTERVAL_US 1000000 /* a server may repeat a notice in each of its answers */
 
-/* Whom an exchange is with. */
-struct peer {
+/* The server of an exchange. */
+struct target {
 	struct be *be;
-	int after_rest; /* counts among the first exchanges after it asked for rest */
+	int after_backoff; /* counts among the exchanges after a back-off */
 };
 
-static void note_unread(struct be *b, const char *field)
+static void report_unusable(struct be *b, const char *field)
 {
 	int64_t now = clock_us();
 	GString *g;
 
 	met_add(MET_NOTICES_UNREAD, 1);
-	if (now - b->unread_us < LOG_US) return;
-	b->unread_us = now;
+	if (now - b->unusable_logged_us < LOG_INTERVAL_US) return;
+	b->unusable_logged_us = now;
 	g = jlog_begin("fleet", "notice_unread");
 	jlog_str(g, "backend", b->id);
 	jlog_str(g, "field", field);
@@ -33,39 +33,40 @@
 
 static void on_any_head(struct hx *x)
 {
-	struct peer *p = x->peer;
+	struct target *t = x->peer;
 	struct dl_notice n;
 
 	if (dl_read_notice(&x->hp.head, &n)) return;
-	if (n.unread) note_unread(p->be, n.unread);
-	if (n.leaving) leave_said(p->be, "its own answer");
-	if (n.cold_us) be_cold(p->be, n.cold_us);
+	if (n.unread) report_unusable(t->be, n.unread);
+	if (n.leaving) leave_report(t->be, "its own answer");
+	if (n.cold_us) be_set_cold(t->be, n.cold_us);
 	if (n.rest_us)
-		pace_rest(p->be, n.rest_us);
-	else if (p->after_rest)
-		pace_went_well(p->be);
-	/* A number that can't be used lifts no limit. */
-	if (n.limit_per_s >= 0 || !n.names_limit) limit_said(p->be, n.limit_per_s, x->began_us);
+		pace_backoff(t->be, n.rest_us);
+	else if (t->after_backoff)
+		pace_succeeded_after_backoff(t->be);
+	/* An unusable number does not lift a limit. */
+	if (n.limit_per_s >= 0 || !n.names_limit)
+		limit_report(t->be, n.limit_per_s, x->began_us);
 }
 
-static void peer_free(void *peer)
+static void target_free(void *target)
 {
-	struct peer *p = peer;
+	struct target *t = target;
 
-	if (p->after_rest) pace_over_after_rest(p->be);
-	be_unref(p->be);
-	g_free(p);
+	if (t->after_backoff) pace_end_after_backoff(t->be);
+	be_unref(t->be);
+	g_free(t);
 }
 
 int bx_start(struct hx *x, struct be *b, GString *request, int64_t connect_us)
 {
-	struct peer *p = g_new0(struct peer, 1);
+	struct target *t = g_new0(struct target, 1);
 
-	p->be = be_ref(b);
-	p->after_rest = pace_begins_after_rest(b);
-	x->peer = p;
-	x->peer_free = peer_free;
+	t->be = be_ref(b);
+	t->after_backoff = pace_begin_after_backoff(b);
+	x->peer = t;
+	x->peer_free = target_free;
 	x->on_any_head = on_any_head;
-	pace_sent(b, conf_service(board_conf(), b->service));
+	pace_sent(b, conf_service(cache_conf(), b->service));
 	return hx_start(x, &b->sa, request, connect_us);
 }
--- a/src/fleet/limit.c
+++ b/src/fleet/limit.c
@@ -1,7 +1,7 @@
 /*
- * Limits that backend servers name. What a server's own answers say is told to all at once when
- * it changes, and each second to those that callers come to, as a message may be lost; all that
- * is known is told to whoever starts.
+ * Rate limits that backend servers name. A change in a server's own answers is sent to all
+ * instances at once. A limit that answers confirm is sent each second to serving instances, as
+ * a message may be lost, and all limits are sent to an instance that starts.
  */
 #include "limit.h"
 #include "clock.h"
@@ -12,16 +12,17 @@
 #include <errno.h>
 #include <math.h>
 
-#define TELL_US 1000000       /* between two messages of what has not changed */
-#define OVER_US 10000000      /* for so long they tell that a limit is over, too */
-#define TRANSIT_US 500000     /* what another instance tells may be under way for so long */
-#define AGO_MAX_US 3600000000 /* what is older is of no use to anybody */
-#define ROW_FIELDS 5          /* id, life, requests in 1,000 s, microseconds since: from, to */
-#define ANY (-1)              /* instead of the requests: as many as there are */
+#define SEND_US 1000000       /* between messages about unchanged limits */
+#define OVER_US 10000000      /* for this time the end of a limit is sent too */
+#define TRANSIT_US 500000     /* longest delay of a message of another instance */
+#define AGE_MAX_US 3600000000 /* older reports are of no use */
+#define ROW_FIELDS 5  /* id, incarnation, requests per 1,000 s, ages of from_us and to_us */
+#define NO_LIMIT (-1) /* in place of the requests: any number */
 
-static struct ev_timer teller;
-static GPtrArray *heard; /* servers whose own answers said so since others were told */
-static int any_limited;  /* some server has named a limit, here or elsewhere */
+static struct ev_timer send_timer;
+static GPtrArray
+	*pending; /* servers whose own answers named a limit or none since the last message */
+static int any_limited; /* some server has named a limit, here or elsewhere */
 
 static void log_limit(const struct be *b, const char *said_by)
 {
@@ -38,16 +39,16 @@
 	jlog_end(g);
 }
 
-/* 1 when the number in force changed. */
-static int take(struct be *b, const struct limit_word *w, const char *said_by)
+/* Returns 1 if the limit in force changed. */
+static int apply(struct be *b, const struct limit_word *w, const char *said_by)
 {
-	int was_limited = be_limited(b);
+	int was_limited = be_is_limited(b);
 
 	if (w->per_s >= 0) any_limited = 1;
 	if (!limit_take(&b->limit, w)) return 0;
 	log_limit(b, said_by);
-	if (was_limited == be_limited(b)) return 1;
-	b->limited_us = clock_us(); /* or since when it is over */
+	if (was_limited == be_is_limited(b)) return 1;
+	b->limit_changed_us = clock_us(); /* also when it ends */
 	b->pace[QUOTA_LIMIT] = (struct quota_pace){0};
 	return 1;
 }
@@ -56,49 +57,50 @@
 
 static int64_t in_1000_s(double per_s)
 {
-	return per_s < 0 ? ANY : (int64_t)ceil(per_s * 1000);
+	return per_s < 0 ? NO_LIMIT : (int64_t)ceil(per_s * 1000);
 }
 
 static void pack(msgpack_packer *p, const struct be *b, int64_t now)
 {
 	mesh_pack_text(p, b->id);
-	msgpack_pack_int64(p, b->born_ms);
+	msgpack_pack_int64(p, b->incarnation_ms);
 	msgpack_pack_int64(p, in_1000_s(b->limit.per_s));
 	msgpack_pack_int64(p, now - b->limit.from_us);
 	msgpack_pack_int64(p, now - b->limit.to_us);
 }
 
-/* 0 or -EBADMSG. */
-static int take_row(const char *from, const msgpack_object *o)
+/* Returns 0 or -EBADMSG. */
+static int apply_row(const char *from, const msgpack_object *o)
 {
-	int64_t now = clock_us(), in_1000, from_ago, to_ago;
+	int64_t now = clock_us(), in_1000, from_age, to_age;
 	char id[ENTRY_TEXT_MAX + 1];
 	struct limit_word w;
 	struct be *b;
 
 	if (mesh_text(&o[0], id, sizeof id)) return -EBADMSG;
 	in_1000 = mesh_int(&o[2]);
-	from_ago = CLAMP(mesh_int(&o[3]), 0, AGO_MAX_US);
-	to_ago = CLAMP(mesh_int(&o[4]), 0, from_ago);
+	from_age = CLAMP(mesh_int(&o[3]), 0, AGE_MAX_US);
+	to_age = CLAMP(mesh_int(&o[4]), 0, from_age);
 	b = be_find(id);
-	if (!b || !be_is_life(b, mesh_int(&o[1]))) return 0;
+	if (!b || !be_is_incarnation(b, mesh_int(&o[1]))) return 0;
 	w.per_s = in_1000 < 0 ? LIMIT_NONE : (double)in_1000 / 1000;
-	w.from_us = now - from_ago - TRANSIT_US;
-	w.to_us = now - to_ago;
-	take(b, &w, from);
+	w.from_us = now - from_age - TRANSIT_US;
+	w.to_us = now - to_age;
+	apply(b, &w, from);
 	return 0;
 }
 
-static int take_frame(const char *from, const msgpack_object_array *a)
+static int apply_frame(const char *from, const msgpack_object_array *a)
 {
 	uint32_t i;
 
 	for (i = 1; i + ROW_FIELDS <= a->size; i += ROW_FIELDS)
-		if (take_row(from, &a->ptr[i])) return -EBADMSG;
+		if (apply_row(from, &a->ptr[i])) return -EBADMSG;
 	return 0;
 }
 
-/* Appends a frame with those of all for which wanted holds; nothing where there is none. */
+/* Appends a frame with the limits of those servers in all for which wanted holds; no frame if
+ * there are none. */
 static void write_rows(GString *out, const GPtrArray *all, int (*wanted)(const struct be *b))
 {
 	int64_t now = clock_us();
@@ -120,12 +122,12 @@
 
 static void write_limited(GString *out)
 {
-	if (any_limited) write_rows(out, be_all(), be_limited);
+	if (any_limited) write_rows(out, be_all(), be_is_limited);
 }
 
-/* ---- when ---- */
+/* ---- sending ---- */
 
-static void tell_all(const struct be *b)
+static void send_all(const struct be *b)
 {
 	GString *out = g_string_new(NULL);
 	struct mesh_frame f;
@@ -136,40 +138,40 @@
 	g_string_free(out, TRUE);
 }
 
-/* An answer came here since the last message, and the limit stands or is over for a short time.
- */
-static int is_news(const struct be *b)
+/* Whether a server with a recent answer has a limit, or had one until a short time ago. */
+static int must_send(const struct be *b)
 {
-	return be_limited(b) || (b->limited_us && clock_us() - b->limited_us < OVER_US);
+	return be_is_limited(b) ||
+	       (b->limit_changed_us && clock_us() - b->limit_changed_us < OVER_US);
 }
 
-static void on_teller(struct ev_timer *t)
+static void on_send_timer(struct ev_timer *t)
 {
 	GString *out = g_string_new(NULL);
 	uint32_t i;
 
-	ev_in(t, TELL_US);
-	write_rows(out, heard, is_news);
+	ev_in(t, SEND_US);
+	write_rows(out, pending, must_send);
 	if (out->len) mesh_send_serving(out);
 	g_string_free(out, TRUE);
-	for (i = 0; i < heard->len; i++)
-		((struct be *)g_ptr_array_index(heard, i))->limit_heard = 0;
-	g_ptr_array_set_size(heard, 0);
+	for (i = 0; i < pending->len; i++)
+		((struct be *)g_ptr_array_index(pending, i))->limit_pending = 0;
+	g_ptr_array_set_size(pending, 0);
 }
 
-static void note_heard(struct be *b)
+static void add_pending(struct be *b)
 {
-	if (b->limit_heard) return;
-	b->limit_heard = 1;
-	g_ptr_array_add(heard, be_ref(b));
+	if (b->limit_pending) return;
+	b->limit_pending = 1;
+	g_ptr_array_add(pending, be_ref(b));
 }
 
-void limit_said(struct be *b, double per_s, int64_t sent_us)
+void limit_report(struct be *b, double per_s, int64_t sent_us)
 {
 	struct limit_word w = {per_s < 0 ? LIMIT_NONE : per_s, sent_us, clock_us()};
 
-	note_heard(b);
-	if (take(b, &w, "itself")) tell_all(b);
+	add_pending(b);
+	if (apply(b, &w, "itself")) send_all(b);
 }
 
 static void unref(gpointer b)
@@ -179,10 +181,10 @@
 
 void limit_start(void)
 {
-	static const struct mesh_topic topic = {MESH_LIMITS, take_frame, write_limited};
+	static const struct mesh_topic topic = {MESH_LIMITS, apply_frame, write_limited};
 
 	mesh_add_topic(&topic);
-	heard = g_ptr_array_new_with_free_func(unref);
-	teller.fire = on_teller;
-	ev_in(&teller, TELL_US);
+	pending = g_ptr_array_new_with_free_func(unref);
+	send_timer.fire = on_send_timer;
+	ev_in(&send_timer, SEND_US);
 }
--- a/src/fleet/mesh.c
+++ b/src/fleet/mesh.c
@@ -107,18 +107,18 @@
 			      .link_mbps = cfg->link_mbps,
 			      .serves = mesh_self_serves(),
 			      .verdicts = poison_digest(),
-			      .orders = board_orders_digest(),
+			      .orders = cache_orders_digest(),
 			      .from = watch_backends_from(),
 			      .dc = mesh_self_dc(),
 			      .region = mesh_self_region(),
 			      .every = beats_every(to)};
-	int64_t now = clock_us(), confirmed = board_confirmed_us();
+	int64_t now = clock_us(), confirmed = cache_confirmed_us();
 
 	g_strlcpy(b.name, cfg->instance, sizeof b.name);
 	g_strlcpy(b.ip, cfg->ip, sizeof b.ip);
 	g_strlcpy(b.front, cfg->front_text, sizeof b.front);
-	b.revs = board_revs();
-	b.confirmed_ago_us = confirmed == BOARD_NEVER ? -1 : now - confirmed;
+	b.revs = cache_revs();
+	b.confirmed_ago_us = confirmed == CACHE_NEVER ? -1 : now - confirmed;
 	b.stamp_us = now;
 	if (answers && to->heard_us) {
 		b.echo_us = to->said.stamp_us;
@@ -198,7 +198,7 @@
 int mesh_is_awake(void)
 {
 	if (!woke_us) return 1;
-	if (board_confirmed_us() >= woke_us || clock_us() - woke_us >= ALONE_US) woke_us = 0;
+	if (cache_confirmed_us() >= woke_us || clock_us() - woke_us >= ALONE_US) woke_us = 0;
 	return !woke_us;
 }
 
--- a/src/fleet/mesh_fetch.c
+++ b/src/fleet/mesh_fetch.c
@@ -28,9 +28,9 @@
 /* While fetching: how long nothing may come. Else: when the next one is asked. */
 static struct ev_timer timer;
 
-static int is_more(struct board_revs revs)
+static int is_more(struct cache_revs revs)
 {
-	struct board_revs mine = board_revs();
+	struct cache_revs mine = cache_revs();
 
 	return revs.conf > mine.conf || revs.backends > mine.backends;
 }
@@ -74,10 +74,10 @@
 static int lacks_list_alone(void)
 {
 	const GPtrArray *all = mesh_members();
-	struct board_revs mine = board_revs();
+	struct cache_revs mine = cache_revs();
 	uint32_t i;
 
-	if (!board_conf() || mine.backends) return 0;
+	if (!cache_conf() || mine.backends) return 0;
 	for (i = 0; i < all->len; i++) {
 		const struct member *m = g_ptr_array_index(all, i);
 
@@ -173,7 +173,7 @@
 {
 	fetch->from->fetch_after_us = clock_us() + REFUSED_US;
 	/* What others said of it was wrong, or is no more use than its own word. */
-	fetch->from->held = (struct board_revs){0};
+	fetch->from->held = (struct cache_revs){0};
 	drop();
 	look_again();
 }
@@ -186,11 +186,11 @@
 }
 
 /* The configuration first, alone: it is small mostly, and anybody's will do. */
-static struct board_revs wanted_after(void)
+static struct cache_revs wanted_after(void)
 {
-	struct board_revs after = board_revs();
+	struct cache_revs after = cache_revs();
 
-	if (!board_conf()) after.backends = NOTHING_NEWER;
+	if (!cache_conf()) after.backends = NOTHING_NEWER;
 	return after;
 }
 
@@ -280,7 +280,7 @@
 	ev_in(&timer, g_random_int_range(0, spread));
 }
 
-void mesh_fetch_holder(struct member *m, struct board_revs held)
+void mesh_fetch_holder(struct member *m, struct cache_revs held)
 {
 	m->held = held;
 }
--- a/src/fleet/mesh_in.c
+++ b/src/fleet/mesh_in.c
@@ -20,7 +20,7 @@
 
 static int take_fetch(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs after;
+	struct cache_revs after;
 
 	if (mesh_read_revs(a, &after)) return -EBADMSG;
 	return mesh_serve(in, after, a->size > 3 ? (uint32_t)mesh_int(&a->ptr[3]) : 0);
@@ -30,7 +30,7 @@
  * store. */
 static int take_want(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs after;
+	struct cache_revs after;
 	GString *out;
 
 	if (mesh_read_revs(a, &after)) return -EBADMSG;
@@ -43,7 +43,7 @@
 }
 
 /* Sooner than its next heartbeat tells. */
-static void note_has(struct member *m, struct board_revs r)
+static void note_has(struct member *m, struct cache_revs r)
 {
 	m->said.revs.conf = MAX(m->said.revs.conf, r.conf);
 	m->said.revs.backends = MAX(m->said.revs.backends, r.backends);
@@ -52,7 +52,7 @@
 /* Up to where the frame makes the lists complete, as its sender tells: the newest item may have
  * changed again since. Earlier releases send no such word, and mean their newest item. */
 struct claims {
-	struct board_revs newest;
+	struct cache_revs newest;
 	uint64_t told;
 };
 
@@ -67,7 +67,7 @@
 
 /* 0 or -EBADMSG. */
 static int apply_items(struct mesh_in *in, const msgpack_object_array *a,
-		       struct board_revs *upto)
+		       struct cache_revs *upto)
 {
 	struct claims c = {0};
 	char key[512];
@@ -76,7 +76,7 @@
 
 	for (k = 3; k < a->size; k++) {
 		if (mesh_read_item(&a->ptr[k], &i, key, sizeof key)) return -EBADMSG;
-		board_apply(&i, in->from->said.name);
+		cache_apply(&i, in->from->said.name);
 		note_item(&c, &i);
 	}
 	if (c.told) c.newest.backends = c.told;
@@ -87,13 +87,14 @@
 
 static int take_items(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs after, upto;
+	struct cache_revs after, upto;
 
 	if (mesh_read_revs(a, &after) || apply_items(in, a, &upto)) return -EBADMSG;
-	board_take_news(after.backends, upto.backends); /* or other ones have to come first */
-	watch_told(DL_CONF, after.conf, upto.conf);
+	cache_take_updates(after.backends,
+			   upto.backends); /* or other ones have to come first */
+	watch_forwarded(DL_CONF, after.conf, upto.conf);
 	if (in->from->said.from && after.backends >= in->from->said.from)
-		watch_told(DL_BACKEND, after.backends, upto.backends);
+		watch_forwarded(DL_BACKEND, after.backends, upto.backends);
 	return 0;
 }
 
@@ -102,7 +103,7 @@
  */
 static int take_news(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs after, mine = board_revs();
+	struct cache_revs after, mine = cache_revs();
 
 	if (mesh_read_revs(a, &after)) return -EBADMSG;
 	if (mine.backends >= after.backends) {
@@ -142,7 +143,7 @@
 /* What it has itself, and who else has it. */
 static int take_holders(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs held;
+	struct cache_revs held;
 	char ip[ENTRY_TEXT_MAX + 1];
 	struct member *m;
 	uint32_t k;
--- a/src/fleet/mesh_know.c
+++ b/src/fleet/mesh_know.c
@@ -11,7 +11,7 @@
 static void take_confirmation(const struct mesh_beat *b)
 {
 	if (!b->echo_us || b->confirmed_ago_us < 0) return;
-	board_confirm(b->revs.conf, b->echo_us + b->echo_held_us - b->confirmed_ago_us);
+	cache_confirm(b->revs.conf, b->echo_us + b->echo_held_us - b->confirmed_ago_us);
 }
 
 void mesh_learn_from(struct member *m)
--- a/src/fleet/mesh_loads.c
+++ b/src/fleet/mesh_loads.c
@@ -17,22 +17,22 @@
 static void add(struct be_load *a, const struct be_load *b)
 {
 	a->runs += b->runs;
-	a->unread += b->unread;
-	a->held += b->held;
-	a->backup += b->backup;
+	a->prefill += b->prefill;
+	a->forecast += b->forecast;
+	a->replicas += b->replicas;
 	a->used += b->used;
-	a->bare += b->bare;
+	a->unreplicated += b->unreplicated;
 	a->inbound += b->inbound;
 }
 
 static void take_off(struct be_load *a, const struct be_load *b)
 {
 	a->runs -= b->runs;
-	a->unread -= b->unread;
-	a->held -= b->held;
-	a->backup -= b->backup;
+	a->prefill -= b->prefill;
+	a->forecast -= b->forecast;
+	a->replicas -= b->replicas;
 	a->used -= b->used;
-	a->bare -= b->bare;
+	a->unreplicated -= b->unreplicated;
 	a->inbound -= b->inbound;
 }
 
@@ -46,7 +46,7 @@
 
 struct told_ends {
 	int64_t born_ms;
-	struct be_ends ends;
+	struct be_outcomes ends;
 };
 
 static void uncount(struct told_load *t)
@@ -59,7 +59,7 @@
 
 static void count_at(struct told_load *t, struct be *b)
 {
-	if (!b || t->at || !be_is_life(b, t->born_ms)) return;
+	if (!b || t->at || !be_is_incarnation(b, t->born_ms)) return;
 	t->at = be_ref(b);
 	add(&b->others, &t->load);
 }
@@ -82,7 +82,7 @@
 static void hear_ends(struct member *m, struct be *b, const struct mesh_row *r)
 {
 	struct told_ends *old = g_hash_table_lookup(m->ends, r->id);
-	struct be_ends since = r->ends;
+	struct be_outcomes since = r->ends;
 
 	if (!old) {
 		old = g_new0(struct told_ends, 1);
@@ -95,7 +95,7 @@
 	}
 	old->born_ms = r->born_ms;
 	old->ends = r->ends;
-	be_heard(b, g_str_hash(m->ip) | 1, since);
+	be_apply_outcomes(b, g_str_hash(m->ip) | 1, since);
 }
 
 static void set_row(struct member *m, const struct mesh_row *r)
@@ -148,8 +148,8 @@
 static void fill_row(struct mesh_row *row, const struct be *b)
 {
 	g_strlcpy(row->id, b->id, sizeof row->id);
-	row->born_ms = b->born_ms;
-	row->ends = b->ends;
+	row->born_ms = b->incarnation_ms;
+	row->ends = b->outcomes;
 	row->load = b->own;
 }
 
@@ -172,7 +172,7 @@
 		struct be *b = g_ptr_array_index(changed, changed->len - 1);
 
 		fill_row(&row[n++], b);
-		b->dirty = 0;
+		b->load_dirty = 0;
 		g_ptr_array_set_size(changed, (gint)changed->len - 1);
 	}
 	return n;
@@ -220,7 +220,7 @@
 		struct member *m = g_ptr_array_index(mesh_members(), i);
 		const struct be_load *l = load_on(m, b);
 
-		if (l && turn_of(m->said.name, b) < mine) sum += l->bare;
+		if (l && turn_of(m->said.name, b) < mine) sum += l->unreplicated;
 	}
 	return sum;
 }
@@ -251,9 +251,9 @@
 
 void mesh_load_changed(struct be *b)
 {
-	if (!b->dirty) g_ptr_array_add(changed, be_ref(b));
-	b->dirty = 1;
-	be_note_use(b);
+	if (!b->load_dirty) g_ptr_array_add(changed, be_ref(b));
+	b->load_dirty = 1;
+	be_update_use(b);
 	mesh_note_load();
 	if (!teller.armed) ev_in(&teller, TELL_US);
 }
--- a/src/fleet/mesh_orders.c
+++ b/src/fleet/mesh_orders.c
@@ -23,22 +23,22 @@
 	msgpack_packer *p;
 	int n = 0;
 
-	board_each_order(count, &n);
+	cache_each_order(count, &n);
 	if (!n) return;
 	p = mesh_frame_begin(&f, MESH_ORDERS, 1 + n);
-	board_each_order(pack, p);
+	cache_each_order(pack, p);
 	mesh_frame_end(&f, out);
 }
 
 int mesh_take_orders(const struct member *m, const msgpack_object_array *a)
 {
-	char key[BOARD_KEY_MAX + 1];
+	char key[CACHE_KEY_MAX + 1];
 	struct st_item i;
 	uint32_t k;
 
 	for (k = 1; k < a->size; k++) {
 		if (mesh_read_item(&a->ptr[k], &i, key, sizeof key)) return -EBADMSG;
-		if (!board_apply(&i, m->said.name) || dl_item_kind(key) != DL_BACKEND) continue;
+		if (!cache_apply(&i, m->said.name) || dl_item_kind(key) != DL_BACKEND) continue;
 		mesh_forward_item(&i);
 	}
 	return 0;
@@ -48,7 +48,7 @@
 {
 	GString *out;
 
-	if (m->said.orders == board_orders_digest()) return;
+	if (m->said.orders == cache_orders_digest()) return;
 	out = g_string_new(NULL);
 	mesh_write_orders(out);
 	if (out->len) mesh_send(m, out);
@@ -60,7 +60,7 @@
 {
 	GString *out;
 
-	if (strcmp(from, board_platform) != 0) return;
+	if (strcmp(from, cache_platform) != 0) return;
 	out = g_string_new(NULL);
 	mesh_write_orders(out);
 	mesh_send_all(out);
@@ -69,5 +69,5 @@
 
 void mesh_orders_start(void)
 {
-	board_on_order = on_order;
+	cache_on_order = on_order;
 }
--- a/src/fleet/mesh_read.c
+++ b/src/fleet/mesh_read.c
@@ -68,11 +68,11 @@
 	if (o->type != MSGPACK_OBJECT_ARRAY || a->size < MESH_ROW_FIELDS_MIN) return -EBADMSG;
 	if (mesh_text(&a->ptr[0], r->id, sizeof r->id)) return -EBADMSG;
 	r->load.runs = mesh_int(&a->ptr[1]);
-	r->load.unread = mesh_int(&a->ptr[2]);
-	r->load.held = mesh_int(&a->ptr[3]);
-	r->load.backup = mesh_int(&a->ptr[4]);
+	r->load.prefill = mesh_int(&a->ptr[2]);
+	r->load.forecast = mesh_int(&a->ptr[3]);
+	r->load.replicas = mesh_int(&a->ptr[4]);
 	r->load.used = mesh_int(&a->ptr[5]);
-	r->load.bare = mesh_int(&a->ptr[6]);
+	r->load.unreplicated = mesh_int(&a->ptr[6]);
 	r->load.inbound = mesh_int(&a->ptr[7]);
 	r->ends.good = mesh_int(&a->ptr[8]);
 	r->ends.bad = mesh_int(&a->ptr[9]);
@@ -80,7 +80,7 @@
 	return 0;
 }
 
-int mesh_read_revs(const msgpack_object_array *a, struct board_revs *after)
+int mesh_read_revs(const msgpack_object_array *a, struct cache_revs *after)
 {
 	if (a->size < 3) return -EBADMSG;
 	after->conf = mesh_int(&a->ptr[1]);
--- a/src/fleet/mesh_serve.c
+++ b/src/fleet/mesh_serve.c
@@ -52,7 +52,7 @@
 	g_string_free(out, TRUE);
 }
 
-int mesh_serve(struct mesh_in *in, struct board_revs after, uint32_t dc)
+int mesh_serve(struct mesh_in *in, struct cache_revs after, uint32_t dc)
 {
 	GString *out;
 	int large, empty;
--- a/src/fleet/mesh_tree.c
+++ b/src/fleet/mesh_tree.c
@@ -63,7 +63,7 @@
 	}
 }
 
-static void send_news(struct board_revs base, int mine_alone)
+static void send_news(struct cache_revs base, int mine_alone)
 {
 	GString *out = g_string_new(NULL);
 
@@ -96,7 +96,7 @@
 }
 
 /* What is large is fetched by those who lack it, from whoever has a place for them. */
-void mesh_pass_on(struct board_revs base)
+void mesh_pass_on(struct cache_revs base)
 {
 	if (mesh_items_size(base) > MESH_SMALL_MAX)
 		mesh_beat_now();
@@ -104,9 +104,9 @@
 		send_news(base, 0);
 }
 
-void mesh_forward(struct board_revs base)
+void mesh_forward(struct cache_revs base)
 {
-	struct board_revs mine = board_revs();
+	struct cache_revs mine = cache_revs();
 
 	if (!mesh_self_hub() || !base.backends) return;
 	if (mine.conf == base.conf && mine.backends == base.backends) return;
--- a/src/fleet/mesh_write.c
+++ b/src/fleet/mesh_write.c
@@ -64,11 +64,11 @@
 	msgpack_pack_array(p, MESH_ROW_FIELDS);
 	mesh_pack_text(p, row->id);
 	msgpack_pack_uint32(p, row->load.runs);
-	msgpack_pack_uint32(p, row->load.unread);
-	msgpack_pack_uint32(p, row->load.held);
-	msgpack_pack_uint32(p, row->load.backup);
+	msgpack_pack_uint32(p, row->load.prefill);
+	msgpack_pack_uint32(p, row->load.forecast);
+	msgpack_pack_uint32(p, row->load.replicas);
 	msgpack_pack_uint32(p, row->load.used);
-	msgpack_pack_uint32(p, row->load.bare);
+	msgpack_pack_uint32(p, row->load.unreplicated);
 	msgpack_pack_uint32(p, row->load.inbound);
 	msgpack_pack_uint32(p, row->ends.good);
 	msgpack_pack_uint32(p, row->ends.bad);
@@ -86,7 +86,7 @@
 	mesh_frame_end(&f, out);
 }
 
-void mesh_write_fetch(GString *out, struct board_revs after, uint32_t dc)
+void mesh_write_fetch(GString *out, struct cache_revs after, uint32_t dc)
 {
 	struct mesh_frame f;
 	msgpack_packer *p = mesh_frame_begin(&f, MESH_FETCH, 4);
@@ -102,11 +102,11 @@
 	*(size_t *)arg += strlen(i->key) + i->len + ITEM_BYTES;
 }
 
-size_t mesh_items_size(struct board_revs after)
+size_t mesh_items_size(struct cache_revs after)
 {
 	size_t n = 0;
 
-	board_each_newer(after, add_size, &n);
+	cache_each_newer(after, add_size, &n);
 	return n;
 }
 
@@ -138,38 +138,38 @@
  * releases pass over an item that is of no list. */
 static void pack_claim(msgpack_packer *p)
 {
-	struct st_item claim = {.key = "", .revision = board_revs().backends};
+	struct st_item claim = {.key = "", .revision = cache_revs().backends};
 
 	mesh_pack_item(p, &claim);
 }
 
-static void write_newer(GString *out, enum mesh_type type, struct board_revs after)
+static void write_newer(GString *out, enum mesh_type type, struct cache_revs after)
 {
-	int n = 0, claims = board_revs().backends > after.backends;
+	int n = 0, claims = cache_revs().backends > after.backends;
 	struct mesh_frame f;
 	msgpack_packer *p;
 
-	board_each_newer(after, count_item, &n);
+	cache_each_newer(after, count_item, &n);
 	if (!n && !claims) return;
 	p = mesh_frame_begin(&f, type, 3 + claims + n);
 	msgpack_pack_uint64(p, after.conf);
 	msgpack_pack_uint64(p, after.backends);
 	if (claims) pack_claim(p);
-	board_each_newer(after, pack_item, p);
+	cache_each_newer(after, pack_item, p);
 	mesh_frame_end(&f, out);
 }
 
-void mesh_write_items(GString *out, struct board_revs after)
+void mesh_write_items(GString *out, struct cache_revs after)
 {
 	write_newer(out, MESH_ITEMS, after);
 }
 
-void mesh_write_news(GString *out, struct board_revs after)
+void mesh_write_news(GString *out, struct cache_revs after)
 {
 	write_newer(out, MESH_NEWS, after);
 }
 
-static int holds_all(const struct member *m, struct board_revs mine)
+static int holds_all(const struct member *m, struct cache_revs mine)
 {
 	return m->alive && m->said.revs.conf >= mine.conf &&
 	       m->said.revs.backends >= mine.backends;
@@ -179,7 +179,7 @@
 static int collect_holders(const struct member **found, int most, uint32_t dc)
 {
 	const GPtrArray *all = mesh_members();
-	struct board_revs mine = board_revs();
+	struct cache_revs mine = cache_revs();
 	uint32_t i, first = g_random_int();
 	int n = 0;
 
@@ -196,7 +196,7 @@
 {
 	const struct member **found = g_new(const struct member *, most);
 	int i, n = collect_holders(found, most, dc);
-	struct board_revs mine = board_revs();
+	struct cache_revs mine = cache_revs();
 	struct mesh_frame f;
 	msgpack_packer *p;
 
--- a/src/fleet/pace.c
+++ b/src/fleet/pace.c
@@ -1,20 +1,19 @@
-/* Which backend servers bear only so many requests, and when this instance may send them its
- * next one. */
+/* Rate limits of backend servers, and when this instance may send them its next request. */
 #include "pace.h"
 #include "clock.h"
 #include "jlog.h"
 #include "mesh.h"
 
-/* A server that nobody has heard of for so long may be asked by those without a share, one
- * after the other: whoever has one may be away, or have nothing to ask. */
-#define UNASKED_US 8000000
-#define UNASKED_STEP_US 1000000 /* its answer is told to all meanwhile */
+/* A limited server without an answer for this long may be sent a request by instances without a
+ * share, one after the other: those with a share may be down, or have no requests. */
+#define SHARELESS_US 8000000
+#define SHARELESS_STEP_US 1000000 /* its answer is sent to all within it */
 
-/* How often it is looked whether what was sent after a rest has been answered. */
-#define RESUME_LOOK_US 10000
-/* After it nothing waits for a server any more that comes back from its rest. */
+/* How often to check whether requests sent after a back-off have been answered. */
+#define RESUME_CHECK_US 10000
+/* If no request had to wait for a server for this long, its back-off is over. */
 #define RESUMED_US 100000
-/* Exchanges at once with which it is over its rest, where it has fewer places. */
+/* Exchanges in flight with which a back-off ends, for servers with fewer slots. */
 #define RESUMED_MIN 4u
 
 static double cold_over = 1, cold_slack;
@@ -31,10 +30,10 @@
 	cold_slack = slack;
 }
 
-/* When it was last back from where it got no work. */
-static int64_t back_us(const struct be *b, int64_t now)
+/* When it last became available again after a time without work. */
+static int64_t last_available_us(const struct be *b, int64_t now)
 {
-	int64_t at = b->back_us;
+	int64_t at = b->available_us;
 
 	if (b->ejected_until_us <= now) at = MAX(at, b->ejected_until_us);
 	if (b->suspect_until_us <= now) at = MAX(at, b->suspect_until_us);
@@ -43,16 +42,16 @@
 
 int64_t pace_cold_until_us(const struct be *b, const struct conf_service *s, int64_t now)
 {
-	int64_t back = back_us(b, now), until = b->cold_until_us;
+	int64_t available_us = last_available_us(b, now), until = b->cold_until_us;
 
 	if (!s || s->cold_per_s <= 0) return 0;
-	if (back) until = MAX(until, back + s->cold_us);
+	if (available_us) until = MAX(until, available_us + s->cold_us);
 	return until > now ? until : 0;
 }
 
-/* 0: nothing of the kind bounds it now. */
-static int bound_of(const struct be *b, const struct conf_service *s, enum quota_kind kind,
-		    int64_t now, struct quota_bound *out)
+/* Returns 0 if no bound of the kind applies now. */
+static int get_bound(const struct be *b, const struct conf_service *s, enum quota_kind kind,
+		     int64_t now, struct quota_bound *out)
 {
 	out->kind = kind;
 	switch (kind) {
@@ -60,32 +59,32 @@
 		if (!pace_cold_until_us(b, s, now)) return 0;
 		out->of.cold = (struct quota_cold){s->cold_per_s, cold_over, cold_slack};
 		return 1;
-	case QUOTA_LIMIT: out->of.limit.per_s = b->limit.per_s; return be_limited(b);
+	case QUOTA_LIMIT: out->of.limit.per_s = b->limit.per_s; return be_is_limited(b);
 	case QUOTA_KINDS: break;
 	}
 	return 0;
 }
 
-/* Until when this instance may have sent to it without keeping to the bound. */
-static int64_t begun_us(const struct be *b, enum quota_kind kind)
+/* Until when this instance may have sent to it without respecting the bound. */
+static int64_t unpaced_until_us(const struct be *b, enum quota_kind kind)
 {
-	return kind == QUOTA_LIMIT ? MAX(b->limited_us, started_us) : started_us;
+	return kind == QUOTA_LIMIT ? MAX(b->limit_changed_us, started_us) : started_us;
 }
 
-static struct quota_pace *pace_now(struct be *b, const struct quota_bound *of, int64_t now)
+static struct quota_pace *update_pace(struct be *b, const struct quota_bound *of, int64_t now)
 {
 	struct quota_pace *p = &b->pace[of->kind];
 	struct mesh_rank r = mesh_rank(b);
 
-	quota_set_share(p, quota_share(quota_sum(of), r.sharers, r.rank), begun_us(b, of->kind),
-			now);
+	quota_set_share(p, quota_share(quota_sum(of), r.sharers, r.rank),
+			unpaced_until_us(b, of->kind), now);
 	return p;
 }
 
-/* An instance without a share. */
-static int64_t unasked_wait_us(const struct be *b, int64_t now)
+/* The wait of an instance without a share. */
+static int64_t shareless_wait_us(const struct be *b, int64_t now)
 {
-	int64_t after = UNASKED_US + mesh_rank(b).rank * (int64_t)UNASKED_STEP_US;
+	int64_t after = SHARELESS_US + mesh_rank(b).rank * (int64_t)SHARELESS_STEP_US;
 
 	return MAX(b->limit.to_us + after - now, 0);
 }
@@ -93,44 +92,44 @@
 static int64_t wait_us(struct be *b, const struct conf_service *s, const struct quota_bound *of,
 		       int64_t now)
 {
-	int64_t wait = quota_wait_us(pace_now(b, of, now), of, now);
+	int64_t wait = quota_wait_us(update_pace(b, of, now), of, now);
 
 	switch (of->kind) {
 	case QUOTA_COLD: return MIN(wait, pace_cold_until_us(b, s, now) - now);
-	case QUOTA_LIMIT: return wait == QUOTA_NEVER ? unasked_wait_us(b, now) : wait;
+	case QUOTA_LIMIT: return wait == QUOTA_NEVER ? shareless_wait_us(b, now) : wait;
 	case QUOTA_KINDS: break;
 	}
 	return wait;
 }
 
-static int64_t rest_wait_us(struct be *b, int64_t now)
+static int64_t backoff_wait_us(struct be *b, int64_t now)
 {
-	struct be_rest *r = &b->rest;
+	struct be_backoff *r = &b->backoff;
 
 	if (!r->until_us) return 0;
 	if (now < r->until_us) return r->until_us - now;
-	if (r->under_way < r->most) return 0;
-	r->full_us = now;
-	return RESUME_LOOK_US;
+	if (r->in_flight < r->max_in_flight) return 0;
+	r->last_full_us = now;
+	return RESUME_CHECK_US;
 }
 
-/* The longest wait, and what for. */
+/* The longest wait of all bounds, and which bound that is. */
 static int64_t longest_wait_us(struct be *b, const struct conf_service *s, int64_t now,
 			       enum pace_why *why)
 {
-	static const enum pace_why whys[QUOTA_KINDS] = {
+	static const enum pace_why reasons[QUOTA_KINDS] = {
 		[QUOTA_COLD] = PACE_COLD, [QUOTA_LIMIT] = PACE_LIMIT};
-	int64_t most = rest_wait_us(b, now), wait;
+	int64_t most = backoff_wait_us(b, now), wait;
 	struct quota_bound of;
 	int kind;
 
-	*why = most ? PACE_REST : PACE_FREE;
+	*why = most ? PACE_BACKOFF : PACE_FREE;
 	for (kind = 0; kind < QUOTA_KINDS; kind++) {
-		if (!bound_of(b, s, kind, now, &of)) continue;
+		if (!get_bound(b, s, kind, now, &of)) continue;
 		wait = wait_us(b, s, &of, now);
 		if (wait <= most) continue;
 		most = wait;
-		*why = whys[kind];
+		*why = reasons[kind];
 	}
 	return most;
 }
@@ -142,9 +141,9 @@
 	return longest_wait_us(b, s, now, &why);
 }
 
-int pace_is_others(const struct be *b)
+int pace_lacks_share(const struct be *b)
 {
-	return be_limited(b) && !b->pace[QUOTA_LIMIT].share;
+	return be_is_limited(b) && !b->pace[QUOTA_LIMIT].share;
 }
 
 enum pace_why pace_why(struct be *b, const struct conf_service *s, int64_t now)
@@ -155,11 +154,12 @@
 	return why;
 }
 
-/* Of one that comes back from its rest: as fast as it answers. */
+/* After a back-off, requests are sent as fast as the server answers. */
 static int64_t resume_gap_us(const struct be *b)
 {
-	if (!b->rest.until_us) return 0;
-	return b->answer_us > 0 ? (int64_t)(b->answer_us / MAX(b->slots, 1)) : RESUME_LOOK_US;
+	if (!b->backoff.until_us) return 0;
+	return b->latency_us > 0 ? (int64_t)(b->latency_us / MAX(b->slots, 1))
+				 : RESUME_CHECK_US;
 }
 
 int64_t pace_gap_us(struct be *b, const struct conf_service *s, int64_t now)
@@ -169,8 +169,9 @@
 	int kind;
 
 	for (kind = 0; kind < QUOTA_KINDS; kind++) {
-		if (!bound_of(b, s, kind, now, &of)) continue;
-		most = MAX(most, quota_window_us(&of) / MAX(pace_now(b, &of, now)->share, 1));
+		if (!get_bound(b, s, kind, now, &of)) continue;
+		most = MAX(most,
+			   quota_window_us(&of) / MAX(update_pace(b, &of, now)->share, 1));
 	}
 	return most;
 }
@@ -190,7 +191,9 @@
 		jlog_int(line, "share", b->pace[QUOTA_LIMIT].share);
 		jlog_int(line, "said_ms", (now - b->limit.to_us) / 1000);
 		break;
-	case PACE_REST: jlog_int(line, "said_ms", (now - b->rest.said_us) / 1000); return;
+	case PACE_BACKOFF:
+		jlog_int(line, "said_ms", (now - b->backoff.asked_us) / 1000);
+		return;
 	}
 	jlog_int(line, "sharers", mesh_rank(b).sharers);
 }
@@ -202,43 +205,43 @@
 	int kind;
 
 	for (kind = 0; kind < QUOTA_KINDS; kind++)
-		if (bound_of(b, s, kind, now, &of))
-			quota_spend(pace_now(b, &of, now), &of, now);
+		if (get_bound(b, s, kind, now, &of))
+			quota_spend(update_pace(b, &of, now), &of, now);
 }
 
-/* ---- rest ---- */
+/* ---- back-off ---- */
 
-void pace_rest(struct be *b, int64_t for_us)
+void pace_backoff(struct be *b, int64_t for_us)
 {
 	int64_t now = clock_us();
 	GString *g = jlog_begin("fleet", "backend_rests");
 
-	b->rest.until_us = MAX(b->rest.until_us, now + for_us);
-	b->rest.said_us = now;
-	b->rest.most = 1;
+	b->backoff.until_us = MAX(b->backoff.until_us, now + for_us);
+	b->backoff.asked_us = now;
+	b->backoff.max_in_flight = 1;
 	jlog_str(g, "backend", b->id);
 	jlog_int(g, "for_ms", for_us / 1000);
 	jlog_end(g);
 }
 
-int pace_begins_after_rest(struct be *b)
+int pace_begin_after_backoff(struct be *b)
 {
-	if (!b->rest.until_us || clock_us() < b->rest.until_us) return 0;
-	b->rest.under_way++;
+	if (!b->backoff.until_us || clock_us() < b->backoff.until_us) return 0;
+	b->backoff.in_flight++;
 	return 1;
 }
 
-void pace_went_well(struct be *b)
+void pace_succeeded_after_backoff(struct be *b)
 {
-	struct be_rest *r = &b->rest;
+	struct be_backoff *r = &b->backoff;
 
-	if (r->most < MAX(b->slots, RESUMED_MIN))
-		r->most++;
-	else if (clock_us() - r->full_us > RESUMED_US)
+	if (r->max_in_flight < MAX(b->slots, RESUMED_MIN))
+		r->max_in_flight++;
+	else if (clock_us() - r->last_full_us > RESUMED_US)
 		r->until_us = 0;
 }
 
-void pace_over_after_rest(struct be *b)
+void pace_end_after_backoff(struct be *b)
 {
-	b->rest.under_way--;
+	b->backoff.in_flight--;
 }
--- a/src/fleet/poison.c
+++ b/src/fleet/poison.c
@@ -147,13 +147,13 @@
 void poison_ended(const struct be *b, const struct poison_run *run, int n, int64_t at_us)
 {
 	int64_t now = clock_us();
-	struct poison_told_end e = {.life = b->born_ms, .ago_us = now - at_us, .n = n};
+	struct poison_told_end e = {.life = b->incarnation_ms, .ago_us = now - at_us, .n = n};
 
 	met_add(MET_BACKENDS_ENDED, 1);
 	g_strlcpy(e.server, b->id, sizeof e.server);
 	mesh_tell_end(&e, run);
 	recent_note(b, run, n, at_us, now);
-	take_end(b->id, b->born_ms, mesh_self_name(), at_us, run, n);
+	take_end(b->id, b->incarnation_ms, mesh_self_name(), at_us, run, n);
 }
 
 void poison_hear_end(const char *from, const struct poison_told_end *e,
--- a/src/fleet/poison_recent.c
+++ b/src/fleet/poison_recent.c
@@ -41,7 +41,7 @@
 	if (!recent) recent = g_ptr_array_new_with_free_func(recent_free);
 	drop_old(now);
 	g_strlcpy(r->server, b->id, sizeof r->server);
-	r->life = b->born_ms;
+	r->life = b->incarnation_ms;
 	r->at_us = at_us;
 	r->run = g_array_sized_new(FALSE, FALSE, sizeof *run, (guint)n);
 	g_array_append_vals(r->run, run, (guint)n);
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -1,12 +1,12 @@
 /*
- * Engines that are taken away while the store is away can't say so in their entries. They say
- * so in their health check, at once but not always truly, and in their report, half a second
- * later. One instance asks for all: of those with work on an engine the first in an order that
- * all work out, and it tells the others.
+ * Engines that are shut down while the store is down can't announce it in their entries. Their
+ * health check shows it at once but may be wrong, and their report shows it half a second
+ * later. Of the instances with work on an engine, the first in an order that all of them
+ * compute probes it and sends the result to the others.
  */
 #include "probe.h"
 #include "be.h"
-#include "board.h"
+#include "cache.h"
 #include "bx.h"
 #include "clock.h"
 #include "dialect.h"
@@ -19,21 +19,22 @@
 #include "pace.h"
 #include <errno.h>
 
-/* Lists so old tell nothing any more where the store failed an instance. Asked only at
- * BOARD_OLD_US, more than twice as many streams of engines taken away meanwhile break.
+/* The age at which lists count as stale while the store fails some instance. With
+ * CACHE_STALE_US, more than twice as many streams of engines that are shut down meanwhile
+ * break.
  */
-#define DOUBT_OLD_US 1000000
+#define DEGRADED_STALE_US 1000000
 #define TICK_US \
-	100000 /* an engine gives some 1.5 s of notice, a move takes 0.2 to 0.4 s of it */
-#define REPORT_TICKS 5    /* a report is as old as that anyway */
-#define CONNECT_US 250000 /* an engine that is there answers in a few ms */
-#define ANSWER_US 500000  /* for its answer: a report needs no place among its requests */
-#define HEARD_US 1000000  /* an answer so young tells as much as a report */
+	100000 /* engines give about 1.5 s of notice, of which a move takes 0.2 to 0.4 s */
+#define REPORT_TICKS 5    /* reports lag by about as much anyway */
+#define CONNECT_US 250000 /* a running engine answers in a few ms */
+#define ANSWER_US 500000  /* for the answer: a report needs no request slot */
+#define RECENT_US 1000000 /* an answer of this age is as good as a report */
 #define REPORT_MAX 65536  /* bytes: a row for each of some hundred runs */
 
 void (*probe_on_report)(struct be *b, const struct dl_report *r);
 
-struct probe { /* one answer that was asked for */
+struct probe { /* one in flight */
 	struct be *be;
 	GString *body; /* of a report; NULL: a health check */
 };
@@ -43,7 +44,7 @@
 
 static void probe_free(struct probe *pr)
 {
-	pr->be->probed = 0;
+	pr->be->probing = 0;
 	be_unref(pr->be);
 	if (pr->body) g_string_free(pr->body, TRUE);
 	g_free(pr);
@@ -59,36 +60,36 @@
 	return 0;
 }
 
-static void take_check(struct be *b, const struct hp_head *head)
+static void apply_check(struct be *b, const struct hp_head *head)
 {
 	switch (dl_read_check(head, b->id)) {
-	case DL_STRANGER: leave_said(b, "another incarnation answers at its address"); return;
-	case DL_FAILING: leave_suspected(b, "its health check"); return;
+	case DL_STRANGER: leave_report(b, "another incarnation answers at its address"); return;
+	case DL_FAILING: leave_report_suspect(b, "its health check"); return;
 	case DL_SOUND:
 	case DL_UNKNOWN: return;
 	}
 }
 
-static void take_report(struct be *b, const GString *body)
+static void apply_report(struct be *b, const GString *body)
 {
 	struct dl_report r;
 
 	dl_read_report(body->str, body->len, &r);
-	if (!be_is_life(b, r.born_ms) && r.born_ms > b->born_ms)
-		be_end_life(b, "its own report");
+	if (!be_is_incarnation(b, r.born_ms) && r.born_ms > b->incarnation_ms)
+		be_end_incarnation(b, "its own report");
 	else if (r.leaving)
-		leave_said(b, "its own report");
+		leave_report(b, "its own report");
 	else
 		probe_on_report(b, &r);
 	dl_free_report(&r);
 }
 
-static void take_answer(const struct probe *pr, const struct hp_head *head)
+static void apply_answer(const struct probe *pr, const struct hp_head *head)
 {
 	if (pr->body)
-		take_report(pr->be, pr->body);
+		apply_report(pr->be, pr->body);
 	else
-		take_check(pr->be, head);
+		apply_check(pr->be, head);
 }
 
 static void log_failed(const struct probe *pr, int err, int status)
@@ -108,7 +109,7 @@
 	int status = x->hp.head.status;
 
 	if (!err && (!pr->body || status == 200))
-		take_answer(pr, &x->hp.head);
+		apply_answer(pr, &x->hp.head);
 	else
 		log_failed(pr, err, status);
 	if (err == -ECONNREFUSED) be_refused_connection(pr->be);
@@ -121,12 +122,12 @@
 
 	pr->be = be_ref(b);
 	if (report) pr->body = g_string_new(NULL);
-	b->probed = 1;
+	b->probing = 1;
 	return pr;
 }
 
-/* check: the path of its health check, or NULL: its report is asked for. */
-static void ask(struct be *b, const char *check)
+/* check: the path of its health check, or NULL to request its report. */
+static void send_probe(struct be *b, const char *check)
 {
 	struct probe *pr = probe_new(b, !check);
 	GString *out = g_string_new(NULL);
@@ -145,50 +146,50 @@
 
 void probe_ask_report(struct be *b)
 {
-	const struct conf_service *s = conf_service(board_conf(), b->service);
+	const struct conf_service *s = conf_service(cache_conf(), b->service);
 
-	if (!b->probed && !pace_wait_us(b, s, clock_us())) ask(b, NULL);
+	if (!b->probing && !pace_wait_us(b, s, clock_us())) send_probe(b, NULL);
 }
 
-/* Requests to a server that names a limit are few, and any answer tells whether it leaves. */
-static int is_heard(const struct be *b)
+/* A server with a rate limit gets few requests, and any answer shows whether it leaves. */
+static int answered_recently(const struct be *b)
 {
-	return be_limited(b) && clock_us() - b->limit.to_us < HEARD_US;
+	return be_is_limited(b) && clock_us() - b->limit.to_us < RECENT_US;
 }
 
-/* Only streams are moved, and only engines are told to. Those of a drained data centre are
- * left alone: their streams are leaving anyway. */
-static int worth_asking(struct be *b, const struct conf_service *s)
+/* Only streams can be moved, so only engines are probed. Those in a drained data centre are
+ * not: their streams are moved anyway. */
+static int must_probe(struct be *b, const struct conf_service *s)
 {
-	if (b->state != BE_READY || b->drained_us || b->probed || !b->own.used) return 0;
-	if (is_heard(b) || pace_wait_us(b, s, clock_us())) return 0;
+	if (b->state != BE_READY || b->drained_us || b->probing || !b->own.used) return 0;
+	if (answered_recently(b) || pace_wait_us(b, s, clock_us())) return 0;
 	return s && s->engine && (s->moves || s->backups) && mesh_first_user(b);
 }
 
-static int lists_are_old(void)
+static int lists_are_stale(void)
 {
-	int64_t age_us = clock_us() - board_confirmed_us();
+	int64_t age_us = clock_us() - cache_confirmed_us();
 
-	return age_us > (mesh_store_in_doubt() ? DOUBT_OLD_US : BOARD_OLD_US);
+	return age_us > (mesh_store_in_doubt() ? DEGRADED_STALE_US : CACHE_STALE_US);
 }
 
 static void on_tick(struct ev_timer *t)
 {
-	int report = ++ticks % REPORT_TICKS == 0, old;
+	int report = ++ticks % REPORT_TICKS == 0, stale;
 	GPtrArray *used;
 	uint32_t i;
 
 	ev_in(t, TICK_US);
 	be_check_lapsed();
-	if (!board_conf()) return;
-	old = lists_are_old();
+	if (!cache_conf()) return;
+	stale = lists_are_stale();
 	used = be_in_use();
 	for (i = 0; i < used->len; i++) {
 		struct be *b = g_ptr_array_index(used, i);
-		const struct conf_service *s = conf_service(board_conf(), b->service);
+		const struct conf_service *s = conf_service(cache_conf(), b->service);
 
-		if ((old || b->lapsed_us) && worth_asking(b, s))
-			ask(b, report ? NULL : s->check);
+		if ((stale || b->lapsed_us) && must_probe(b, s))
+			send_probe(b, report ? NULL : s->check);
 	}
 	g_ptr_array_unref(used);
 }
--- a/src/fleet/ro.c
+++ b/src/fleet/ro.c
@@ -3,7 +3,7 @@
  * own part of what canaries may get, judges by the answers of all, and stops at once where it
  * finds the version bad; that it is good is for those to say who write to the store.
  */
-#include "board.h"
+#include "cache.h"
 #include "clock.h"
 #include "ev.h"
 #include "jlog.h"
@@ -95,7 +95,7 @@
 	struct rollout_state s = ro_state(o);
 
 	ro_choose_canaries(o);
-	if (o->stage == ROLLOUT_ROLLED_BACK) be_bar_version(o->service, o->target, 1);
+	if (o->stage == ROLLOUT_ROLLED_BACK) be_block_version(o->service, o->target, 1);
 	if (rollout_moves_off(&s)) ro_bar_old(o);
 }
 
@@ -169,6 +169,6 @@
 	orders = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ro_free);
 	ticker.fire = on_tick;
 	be_ro_part = ro_part_of;
-	board_on_rollout = ro_on_order;
+	cache_on_rollout = ro_on_order;
 	ro_mesh_start();
 }
--- a/src/fleet/ro_choose.c
+++ b/src/fleet/ro_choose.c
@@ -29,7 +29,7 @@
  * versions are bad under load alone. */
 void ro_choose_canaries(const struct ro *o)
 {
-	const GPtrArray *list = be_of(o->service);
+	const GPtrArray *list = be_of_service(o->service);
 	GPtrArray *of_new = g_ptr_array_new();
 	uint32_t i, most;
 
@@ -37,7 +37,7 @@
 		struct be *b = g_ptr_array_index(list, i);
 
 		b->ro_part = ro_part_of(b);
-		if (b->ro_part == RO_NEW && !be_leaves(b)) g_ptr_array_add(of_new, b);
+		if (b->ro_part == RO_NEW && !be_is_leaving(b)) g_ptr_array_add(of_new, b);
 	}
 	qsort(of_new->pdata, of_new->len, sizeof *of_new->pdata, by_hash);
 	most = MAX((uint32_t)ceil(of_new->len * ro_cfg->exposure_share), CANARIES_MIN);
@@ -48,7 +48,7 @@
 
 static int has_old(const struct ro *o)
 {
-	const GPtrArray *list = be_of(o->service);
+	const GPtrArray *list = be_of_service(o->service);
 	uint32_t i;
 
 	for (i = 0; list && i < list->len; i++) {
@@ -62,13 +62,13 @@
 /* Versions but the target. */
 void ro_bar_old(const struct ro *o)
 {
-	const GPtrArray *list = be_of(o->service);
+	const GPtrArray *list = be_of_service(o->service);
 	uint32_t i;
 
 	for (i = 0; list && i < list->len; i++) {
 		const struct be *b = g_ptr_array_index(list, i);
 
-		if (strcmp(b->version, o->target)) be_bar_version(o->service, b->version, 1);
+		if (strcmp(b->version, o->target)) be_block_version(o->service, b->version, 1);
 	}
 }
 
@@ -126,11 +126,11 @@
 void ro_ended(struct be *b, uint32_t route, enum ro_end how, int64_t took_us)
 {
 	struct ro *o = b->ro_part ? ro_find(b->service) : NULL;
-	int64_t now = clock_us(), broke_us = b->broke_us;
+	int64_t now = clock_us(), broke_us = b->last_broken_us;
 
 	if (!o) return;
 	if (how == RO_BROKE) {
-		b->broke_us = now;
+		b->last_broken_us = now;
 		if (now - broke_us < BROKE_US) return;
 	}
 	rollout_note(&o->own, route, b->ro_part == RO_OLD ? ROLLOUT_OLD : ROLLOUT_NEW,
@@ -140,7 +140,7 @@
 
 uint32_t ro_own_old_runs(const struct ro *o)
 {
-	const GPtrArray *list = be_of(o->service);
+	const GPtrArray *list = be_of_service(o->service);
 	uint32_t i, n = 0;
 
 	for (i = 0; list && i < list->len; i++) {
--- a/src/fleet/ro_order.c
+++ b/src/fleet/ro_order.c
@@ -37,7 +37,7 @@
 /* A version that was being brought in when another took its place was never found good. */
 static void give_up(struct ro *o)
 {
-	if (!ro_is_over(o)) be_bar_version(o->service, o->target, 1);
+	if (!ro_is_over(o)) be_block_version(o->service, o->target, 1);
 	ro_forget(o);
 }
 
@@ -54,7 +54,7 @@
 	o->with_slack = o->began_us - ro_started_us() > ro_cfg->join_us + SETTLED_US;
 	o->told = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	ro_add(o);
-	be_bar_version(service, o->target, 0);
+	be_block_version(service, o->target, 0);
 	log_order(o);
 	ro_apply(o);
 }
--- a/src/fleet/roster.c
+++ b/src/fleet/roster.c
@@ -1,6 +1,6 @@
 /*
- * Leased keys of a few instances in the platform's store, kept and looked for: whoever finds
- * one of them hears of all others from it.
+ * A few instances maintain leased keys in the platform's store, and all instances list them:
+ * whoever finds one instance learns of all others from it.
  */
 #include "roster.h"
 #include "ev.h"
@@ -10,28 +10,30 @@
 #include <errno.h>
 #include <string.h>
 
-/* Where the keys stand; the rest of a key is the instance's name, its value the address. */
+/* The rest of a key is the instance's name; its value is the address. */
 #define PREFIX "saddlehead/members/"
-#define LEASE_MS 30000        /* an instance that died is listed no longer than this */
-#define RENEW_US 10000000     /* a third of it */
-#define RETRY_US 1000000      /* after a call that failed */
-#define LIST_US 60000000      /* members tell each other of members; this is for those apart */
-#define LIST_ALONE_US 1500000 /* while no other instance is heard of */
-#define LOOK_US 1000000       /* how often one without a key looks whether it must have one */
-#define SETTLE_US 1500000     /* after the start: by then it is known who is there */
+#define LEASE_MS 30000    /* a dead instance stays listed for at most this long */
+#define RENEW_US 10000000 /* a third of LEASE_MS */
+#define RETRY_US 1000000  /* after a failed call */
+#define LIST_US \
+	60000000 /* members learn of members from each other; this finds separated parts */
+#define LIST_ALONE_US 1500000 /* while no other instance is known */
+#define KEY_CHECK_US \
+	1000000           /* how often an instance without a key checks whether it needs one */
+#define SETTLE_US 1500000 /* after the start: the other instances are known by then */
 
 static const struct entry_cfg *cfg;
-static struct ev_timer keep_timer, list_timer;
+static struct ev_timer lease_timer, list_timer;
 static uint64_t lease;
-static int written; /* the key stands, under this lease */
+static int key_written; /* the key is written under this lease */
 
 static void on_written(const struct st_reply *r, void *user)
 {
 	(void)user;
 	watch_note_reply(r);
-	written = r->rc == 0;
+	key_written = r->rc == 0;
 	if (r->rc == -ENOENT) lease = 0;
-	ev_in(&keep_timer, written ? RENEW_US : RETRY_US);
+	ev_in(&lease_timer, key_written ? RENEW_US : RETRY_US);
 }
 
 static void write_key(void)
@@ -49,11 +51,11 @@
 	(void)user;
 	watch_note_reply(r);
 	if (r->rc || !r->lease) {
-		ev_in(&keep_timer, RETRY_US);
+		ev_in(&lease_timer, RETRY_US);
 		return;
 	}
 	lease = r->lease;
-	written = 0;
+	key_written = 0;
 	write_key();
 }
 
@@ -63,21 +65,21 @@
 	watch_note_reply(r);
 	if (r->rc == -ENOENT) {
 		lease = 0;
-		written = 0;
+		key_written = 0;
 	}
-	ev_in(&keep_timer, r->rc ? RETRY_US : RENEW_US);
+	ev_in(&lease_timer, r->rc ? RETRY_US : RENEW_US);
 }
 
-static void on_keep(struct ev_timer *t)
+static void on_lease_timer(struct ev_timer *t)
 {
 	if (!mesh_watches()) {
-		lease = 0; /* runs out by itself, at no price */
-		ev_in(t, LOOK_US);
+		lease = 0; /* expires without a call */
+		ev_in(t, KEY_CHECK_US);
 		return;
 	}
 	if (!lease)
 		st_lease(LEASE_MS, on_leased, NULL);
-	else if (!written)
+	else if (!key_written)
 		write_key();
 	else
 		st_renew(lease, on_renewed, NULL);
@@ -99,9 +101,9 @@
 	ev_in(&list_timer, mesh_live() > 1 ? LIST_US : LIST_ALONE_US);
 }
 
-/* Those who leave their keys also look for keys of others: two parts of a fleet that lost each
- * other meet again this way. */
-static void on_list(struct ev_timer *t)
+/* Instances that maintain keys also list those of others, so that two parts of a fleet that
+ * lost each other meet again. */
+static void on_list_timer(struct ev_timer *t)
 {
 	if (mesh_live() > 1 && !mesh_watches()) {
 		ev_in(t, LIST_US);
@@ -114,15 +116,15 @@
 void roster_start(const struct entry_cfg *c)
 {
 	cfg = c;
-	keep_timer.fire = on_keep;
-	list_timer.fire = on_list;
-	ev_in(&keep_timer, SETTLE_US);
+	lease_timer.fire = on_lease_timer;
+	list_timer.fire = on_list_timer;
+	ev_in(&lease_timer, SETTLE_US);
 	ev_in(&list_timer, LIST_ALONE_US);
 }
 
 void roster_leave(void)
 {
-	ev_stop(&keep_timer);
+	ev_stop(&lease_timer);
 	if (lease) st_release(lease);
 	lease = 0;
 }
--- a/src/fleet/watch.c
+++ b/src/fleet/watch.c
@@ -1,6 +1,6 @@
-/* The platform's lists are read once and then watched for changes. */
+/* Reads the platform's lists once and then watches them for changes. */
 #include "watch_impl.h"
-#include "board.h"
+#include "cache.h"
 #include "clock.h"
 #include "dialect.h"
 #include "ev.h"
@@ -9,95 +9,102 @@
 #include <errno.h>
 #include <stddef.h>
 
-#define GLANCE_MS 1           /* what has changed, and nothing that may */
-#define WATCH_MS 20000        /* a call that waits: each return is paid for */
-#define RETRY_FIRST_US 100000 /* after a failed call, doubled up to ... */
-#define RETRY_MAX_US 800000   /* ... this: the store's return must be seen within a second */
-#define FIRST_WAIT_US 2000000 /* of the fleet's first start: callers come seconds later */
-/* What a long list has beyond its first page is waited for so long: another instance hands it
- * on in one piece, where the store is asked for each page. */
-#define REST_WAIT_US 4000000
-#define IDLE_LOOK_US 100000 /* how often one that does not watch looks whether it must */
-#define SETTLE_US 600000    /* after the start: by then others are heard if they are there */
-#define REST_MIN_US 30000   /* after news: what changes with it comes in the same return, ... */
-#define REST_MAX_US 130000  /* ... and of those who watch one is back soon */
+#define POLL_MS 1             /* returns changes made so far and waits for none */
+#define WATCH_MS 20000        /* long, as each return costs a call */
+#define RETRY_FIRST_US 100000 /* after a failed call, doubled up to RETRY_MAX_US */
+#define RETRY_MAX_US 800000   /* the store's return must be noticed within a second */
+#define FIRST_WAIT_US 2000000 /* on the fleet's first start: callers come seconds later */
+/* How long the rest of a list of several pages is awaited from another instance, which serves
+ * it in one piece where the store takes a call for each page. */
+#define PEERS_WAIT_US 4000000
+#define IDLE_CHECK_US \
+	100000           /* how often an instance that does not watch checks whether it must */
+#define SETTLE_US 600000 /* after the start: other instances have been received by then */
+#define PAUSE_MIN_US 30000 /* after a change: further changes with it come in one reply, ... \
+			    */
+#define PAUSE_MAX_US                                                                          \
+	130000 /* ... and, as the pause is random, one of the watching instances soon watches \
+		  again */
 
 enum phase { LISTING, WATCHING };
 
 struct watcher {
-	struct dl_list list; /* of the keys that begin so */
+	struct dl_list list;
 	enum phase phase;
-	/* All changes up to this revision have come, the keys that went among them. */
+	/* All changes up to this revision have been applied, removed keys included. */
 	uint64_t at;
-	/* Of changes after this one: what went before it is not known here by its key. */
+	/* Changes after this one are cached; keys removed before it are not. */
 	uint64_t from;
-	/* What changed while this one had listed, and nobody watched for it, was asked for. */
-	int covered;
-	int glancing;    /* its call waits for nothing */
-	int64_t left_us; /* since when others are waited for to hand on the rest; 0: they are
-			    not */
-	struct st_call *call, *glance;
+	/* Changes made after the listing, while nobody watched for this instance, were
+	 * requested.
+	 */
+	int caught_up;
+	int polling;         /* call returns at once */
+	int64_t awaiting_us; /* since when the rest of the list is awaited from peers; 0: it is
+				not */
+	struct st_call *call, *poll;
 	struct ev_timer retry;
-	int64_t wait_us;        /* before the last retry; 0: the last call went well */
-	int64_t rest_until_us;  /* the store failed: this one asks no sooner unless it is to */
-	GHashTable *listed;     /* keys that the pages so far had */
-	struct board_revs base; /* what was known before the listing */
-	int begun;              /* a listing was asked for: what is known may be a part of it */
+	int64_t retry_us;         /* delay of the last retry; 0: the last call succeeded */
+	int64_t backoff_until_us; /* after a failure: no earlier call unless mesh_asks_store()
+				   */
+	GHashTable *listed;       /* keys on the pages so far */
+	struct cache_revs base;   /* revisions cached before the listing */
+	int requested; /* a listing was requested: what is cached may be a part of it */
 };
 
-#define WATCHERS_MAX 4 /* lists that the platform may have */
+#define WATCHERS_MAX 4 /* lists of the platform */
 
 static struct watcher watchers[WATCHERS_MAX];
 static int nwatchers;
 static int64_t started_us; /* monotonic */
 static int first_start;    /* of the whole fleet */
 
-static void next(struct watcher *w);
+static void next_call(struct watcher *w);
 
-static void try_later(struct watcher *w)
+static void retry_later(struct watcher *w)
 {
-	w->wait_us = w->wait_us ? MIN(w->wait_us * 2, RETRY_MAX_US) : RETRY_FIRST_US;
-	w->rest_until_us = clock_us() + mesh_rest_us();
-	ev_in(&w->retry, w->wait_us);
+	w->retry_us = w->retry_us ? MIN(w->retry_us * 2, RETRY_MAX_US) : RETRY_FIRST_US;
+	w->backoff_until_us = clock_us() + mesh_rest_us();
+	ev_in(&w->retry, w->retry_us);
 }
 
-/* Takes what the store said; listed_us: a listing that was asked for then, else 0. */
+/* Applies a reply of the store; listed_us: when a listing was requested, 0 for other calls. */
 static void apply_all(const struct st_reply *r, int64_t listed_us)
 {
 	size_t i;
 
 	for (i = 0; i < r->n; i++) {
-		board_apply(&r->items[i], board_platform);
+		cache_apply(&r->items[i], cache_platform);
 		if (listed_us && dl_item_kind(r->items[i].key) == DL_CONF)
-			board_confirm(r->items[i].revision, listed_us);
+			cache_confirm(r->items[i].revision, listed_us);
 	}
 }
 
 void watch_apply(const struct st_reply *r, int64_t listed_us)
 {
-	struct board_revs base = board_revs();
+	struct cache_revs base = cache_revs();
 
 	apply_all(r, listed_us);
 	mesh_pass_on(base);
 }
 
-/* All changes of the list since the revision w->at, up to the last of them. */
+/* Applies a reply with all changes of the list after w->at. */
 static void apply_changes(const struct watcher *w, const struct st_reply *r)
 {
-	struct board_revs base = board_revs();
+	struct cache_revs base = cache_revs();
 	uint64_t upto = 0;
 	size_t i;
 
 	if (!r->n) return;
 	apply_all(r, 0);
 	for (i = 0; i < r->n; i++) upto = MAX(upto, r->items[i].revision);
-	if (w->list.of == DL_BACKEND) board_complete(upto);
+	if (w->list.of == DL_BACKEND) cache_set_complete(upto);
 	mesh_pass_on(base);
 }
 
-static uint64_t known_revision(const struct watcher *w)
+static uint64_t cached_revision(const struct watcher *w)
 {
-	struct board_revs revs = board_revs();
+	struct cache_revs revs = cache_revs();
 
 	return w->list.of == DL_CONF ? revs.conf : revs.backends;
 }
@@ -108,11 +115,11 @@
 
 	jlog_str(g, "list", w->list.prefix);
 	jlog_int(g, "revision", w->at);
-	jlog_int(g, "known", known_revision(w));
+	jlog_int(g, "known", cached_revision(w));
 	jlog_end(g);
 }
 
-/* Who watches for all is known once others are heard; where none are named there are none. */
+/* Which instances watch for all is known once others have been received, if there are any. */
 static int must_watch(void)
 {
 	int alone = mesh_live() == 1 && mesh_known() > 1;
@@ -121,16 +128,16 @@
 	return mesh_watches();
 }
 
-/* Some watch for all, and list whole what no other instance has. */
-static int others_have_or_list(void)
+/* Whether other instances have the lists, or watch for all and read them from the store. */
+static int peers_have_or_list(void)
 {
 	return mesh_is_informed() || !must_watch();
 }
 
-static int may_leave_rest(const struct watcher *w)
+static int may_await_peers(const struct watcher *w)
 {
-	if (w->left_us || w->list.of != DL_BACKEND || w->base.backends) return 0;
-	return mesh_known() > 1 && others_have_or_list();
+	if (w->awaiting_us || w->list.of != DL_BACKEND || w->base.backends) return 0;
+	return mesh_known() > 1 && peers_have_or_list();
 }
 
 static void on_listed(const struct st_reply *r, void *user)
@@ -142,46 +149,47 @@
 	watch_note_reply(r);
 	if (r->rc) {
 		g_hash_table_remove_all(w->listed);
-		try_later(w);
+		retry_later(w);
 		return;
 	}
-	w->wait_us = 0;
+	w->retry_us = 0;
 	if (!g_hash_table_size(w->listed)) {
-		w->base = board_revs();
-		/* Pages are no snapshot: what changed since the first is watched from there. */
+		w->base = cache_revs();
+		/* Pages are no snapshot: changes since the first page are watched for. */
 		w->at = r->at;
 	}
 	apply_all(r, r->sent_us);
 	for (i = 0; i < r->n; i++) g_hash_table_add(w->listed, g_strdup(r->items[i].key));
-	if (r->more && r->n && may_leave_rest(w)) {
-		w->left_us = clock_us();
+	if (r->more && r->n && may_await_peers(w)) {
+		w->awaiting_us = clock_us();
 		g_hash_table_remove_all(w->listed);
-		ev_in(&w->retry, IDLE_LOOK_US);
+		ev_in(&w->retry, IDLE_CHECK_US);
 		return;
 	}
 	if (r->more && r->n) {
 		w->call = st_range(w->list.prefix, r->items[r->n - 1].key, on_listed, w);
 		return;
 	}
-	g_ptr_array_unref(board_apply_missing(w->list.prefix, w->listed, w->at));
-	if (w->list.of == DL_BACKEND) board_complete(w->at);
+	g_ptr_array_unref(cache_apply_missing(w->list.prefix, w->listed, w->at));
+	if (w->list.of == DL_BACKEND) cache_set_complete(w->at);
 	g_hash_table_remove_all(w->listed);
 	log_list(w, "list_read");
 	w->phase = WATCHING;
 	w->from = w->at;
-	w->covered = 0;
-	mesh_beat_now(); /* what is passed on then does not go on from what others know */
+	w->caught_up = 0;
+	mesh_beat_now(); /* the updates below do not continue from the revisions that peers have
+			  */
 	mesh_pass_on(w->base);
-	next(w);
+	next_call(w);
 }
 
-/* The store has forgotten what changed: nothing but a listing of its own tells. */
-static void list_anew(struct watcher *w)
+/* The store has compacted the changes since w->at: only a listing shows them. */
+static void relist(struct watcher *w)
 {
 	w->phase = LISTING;
-	w->begun = 1;
-	w->wait_us = 0;
-	next(w);
+	w->requested = 1;
+	w->retry_us = 0;
+	next_call(w);
 }
 
 static void on_watched(const struct st_reply *r, void *user)
@@ -191,111 +199,113 @@
 	w->call = NULL;
 	watch_note_reply(r);
 	if (r->rc == -ESTALE) {
-		list_anew(w);
+		relist(w);
 		return;
 	}
 	if (r->rc) {
-		try_later(w);
+		retry_later(w);
 		return;
 	}
-	w->wait_us = 0;
-	w->covered = 1;
+	w->retry_us = 0;
+	w->caught_up = 1;
 	apply_changes(w, r);
 	if (r->at > w->at) w->at = r->at;
 	if (r->n)
-		ev_in(&w->retry, g_random_int_range(REST_MIN_US, REST_MAX_US));
+		ev_in(&w->retry, g_random_int_range(PAUSE_MIN_US, PAUSE_MAX_US));
 	else
-		next(w);
+		next_call(w);
 }
 
-/* Something came that does not go on from what is known: another instance's listing does not
- * tell of keys that went before it. */
+/* Whether changes may be missing: updates came that do not continue from w->at, and another
+ * instance's listing does not show keys removed before it. */
 static int has_gap(const struct watcher *w)
 {
-	return !w->covered || known_revision(w) > w->at;
+	return !w->caught_up || cached_revision(w) > w->at;
 }
 
-/* One that stands by sends to nobody, and hundreds of them would ask. */
-static int must_glance(const struct watcher *w)
+/* Standby instances forward to nobody, and hundreds of them would poll. */
+static int must_poll(const struct watcher *w)
 {
 	return has_gap(w) && mesh_self_hub() && mesh_is_informed();
 }
 
-/* Others have handed on whole what this one would list. */
-static int has_from_others(const struct watcher *w)
+/* Whether peers have served the complete list that this instance would request. */
+static int has_list_from_peers(const struct watcher *w)
 {
-	return (!w->begun || w->left_us) && known_revision(w);
+	return (!w->requested || w->awaiting_us) && cached_revision(w);
 }
 
-static int waits_for_rest(const struct watcher *w)
+static int awaits_peers(const struct watcher *w)
 {
-	if (!w->left_us || clock_us() - w->left_us >= REST_WAIT_US) return 0;
-	return others_have_or_list();
+	if (!w->awaiting_us || clock_us() - w->awaiting_us >= PEERS_WAIT_US) return 0;
+	return peers_have_or_list();
 }
 
-/* On the first start all have time to get the lists from the few that watch. */
-static int others_will_tell(void)
+/* On the fleet's first start there is time to get the lists from the few that watch. */
+static int peers_will_forward(void)
 {
 	return first_start && clock_us() - started_us < FIRST_WAIT_US && !must_watch();
 }
 
-/* A watch that breaks may be its connection's fault: it is tried once more at once. */
-static int tries_anew(const struct watcher *w)
+/* A watch may break because of its connection: the first retry is made even if this instance
+ * should not call the store. */
+static int retries_at_once(const struct watcher *w)
 {
-	return w->phase == WATCHING && w->wait_us == RETRY_FIRST_US;
+	return w->phase == WATCHING && w->retry_us == RETRY_FIRST_US;
 }
 
-/* A store that fails is asked by a few, and for one list: hundreds that each go on asking it
- * for all are thousands of calls in the seconds in which it is weakest. */
+/* A failing store is called by few instances, and only for the configuration: hundreds that
+ * retry every list would make thousands of calls in the seconds in which it is weakest. */
 static int may_ask(const struct watcher *w)
 {
-	if (watch_store_up() || tries_anew(w) || clock_us() >= w->rest_until_us) return 1;
-	return mesh_asks_store() && !board_conf() && w->list.of == DL_CONF;
+	if (watch_store_up() || retries_at_once(w) || clock_us() >= w->backoff_until_us)
+		return 1;
+	return mesh_asks_store() && !cache_conf() && w->list.of == DL_CONF;
 }
 
 static void watch(struct watcher *w, int64_t wait_ms)
 {
-	w->glancing = wait_ms == GLANCE_MS;
+	w->polling = wait_ms == POLL_MS;
 	log_list(w, "watch_began");
 	w->call = st_watch(w->list.prefix, w->at, wait_ms, on_watched, w);
 }
 
-static void next(struct watcher *w)
+static void next_call(struct watcher *w)
 {
 	if (w->call) return;
-	if (w->phase == LISTING && has_from_others(w)) {
+	if (w->phase == LISTING && has_list_from_peers(w)) {
 		w->phase = WATCHING;
-		w->at = w->from = known_revision(w);
-		w->covered = 1; /* whoever told it tells what went, too */
+		w->at = w->from = cached_revision(w);
+		w->caught_up = 1; /* whoever served the list forwards removals too */
 	}
-	if (!may_ask(w) || (w->phase == LISTING && (others_will_tell() || waits_for_rest(w)))) {
-		ev_in(&w->retry, IDLE_LOOK_US);
+	if (!may_ask(w) || (w->phase == LISTING && (peers_will_forward() || awaits_peers(w)))) {
+		ev_in(&w->retry, IDLE_CHECK_US);
 		return;
 	}
 	if (w->phase == LISTING) {
-		w->begun = 1;
+		w->requested = 1;
 		w->call = st_range(w->list.prefix, NULL, on_listed, w);
 		return;
 	}
-	if (must_watch() || tries_anew(w))
+	if (must_watch() || retries_at_once(w))
 		watch(w, WATCH_MS);
-	else if (must_glance(w))
-		watch(w, GLANCE_MS);
+	else if (must_poll(w))
+		watch(w, POLL_MS);
 	else
-		ev_in(&w->retry, IDLE_LOOK_US);
+		ev_in(&w->retry, IDLE_CHECK_US);
 }
 
 static void on_retry(struct ev_timer *t)
 {
-	next((struct watcher *)((char *)t - offsetof(struct watcher, retry)));
+	next_call((struct watcher *)((char *)t - offsetof(struct watcher, retry)));
 }
 
-static void start_again(struct watcher *w)
+static void restart(struct watcher *w)
 {
 	st_cancel(w->call);
 	w->call = NULL;
 	ev_stop(&w->retry);
-	next(w);
+	next_call(w);
 }
 
 int watch_receives_conf(void)
@@ -309,12 +319,12 @@
 	return 0;
 }
 
-void watch_anew(void)
+void watch_restart(void)
 {
 	int i;
 
 	for (i = 0; i < nwatchers; i++)
-		if (watchers[i].phase == WATCHING) start_again(&watchers[i]);
+		if (watchers[i].phase == WATCHING) restart(&watchers[i]);
 }
 
 static struct watcher *backends_watcher(void)
@@ -326,16 +336,16 @@
 	return NULL;
 }
 
-static void on_glanced(const struct st_reply *r, void *user)
+static void on_polled(const struct st_reply *r, void *user)
 {
 	struct watcher *w = user;
 
-	w->glance = NULL;
+	w->poll = NULL;
 	watch_note_reply(r);
 	if (r->rc == -ESTALE) {
 		w->phase = LISTING;
-		w->begun = 1;
-		start_again(w);
+		w->requested = 1;
+		restart(w);
 		return;
 	}
 	if (r->rc) return;
@@ -343,12 +353,12 @@
 	w->at = MAX(w->at, r->at);
 }
 
-void watch_glance(void)
+void watch_poll(void)
 {
 	struct watcher *w = backends_watcher();
 
-	if (!w || w->phase != WATCHING || w->glance) return;
-	w->glance = st_watch(w->list.prefix, w->at, GLANCE_MS, on_glanced, w);
+	if (!w || w->phase != WATCHING || w->poll) return;
+	w->poll = st_watch(w->list.prefix, w->at, POLL_MS, on_polled, w);
 }
 
 uint64_t watch_backends_from(void)
@@ -358,7 +368,7 @@
 	return w ? w->from : 0;
 }
 
-void watch_told(enum dl_item kind, uint64_t after, uint64_t upto)
+void watch_forwarded(enum dl_item kind, uint64_t after, uint64_t upto)
 {
 	int i;
 
@@ -369,21 +379,21 @@
 	}
 }
 
-/* Others watch for this instance by now: its own call would stay for as long as nothing
- * changes. */
-static void leave_to_others(struct watcher *w)
+/* Ends the watch if others watch for this instance by now: otherwise the call would stay open
+ * until something changes. */
+static void release(struct watcher *w)
 {
-	if (w->phase != WATCHING || !w->call || w->glancing || must_watch()) return;
+	if (w->phase != WATCHING || !w->call || w->polling || must_watch()) return;
 	if (!mesh_is_informed()) return;
-	w->covered = 0; /* what the store has not answered yet may not have come from others */
-	start_again(w);
+	w->caught_up = 0; /* changes not answered yet may not come from peers */
+	restart(w);
 }
 
-void watch_leave_to_others(void)
+void watch_release(void)
 {
 	int i;
 
-	for (i = 0; i < nwatchers; i++) leave_to_others(&watchers[i]);
+	for (i = 0; i < nwatchers; i++) release(&watchers[i]);
 }
 
 static void init_watcher(struct watcher *w, struct dl_list list)
@@ -403,7 +413,7 @@
 		init_watcher(&watchers[i], dl_lists[i]);
 		watch_check_add(dl_lists[i]);
 		nwatchers++;
-		next(&watchers[i]);
+		next_call(&watchers[i]);
 	}
 	watch_confirm_start();
 }
--- a/src/fleet/watch_check.c
+++ b/src/fleet/watch_check.c
@@ -1,28 +1,28 @@
-/* What watches have told is listed once more, a part at a time: what that costs does not grow
- * with the list. Beyond that part a glance tells what a silent watch has not. */
-#include "board.h"
+/* Lists the watched lists again, a few pages in each turn, so that the cost does not grow with
+ * the list. For the rest of a list a poll shows the changes that a silent watch missed. */
+#include "cache.h"
 #include "clock.h"
 #include "mesh.h"
 #include "watch_impl.h"
 #include <string.h>
 
 #define CHECKERS_MAX 4
-#define PAGES 2 /* of a list in one turn; a page holds some hundred items */
+#define PAGES_PER_TURN 2 /* a page holds some hundred items */
 
 struct checker {
 	struct dl_list list;
 	struct st_call *call;
-	char after[BOARD_KEY_MAX + 1]; /* the last key that was listed; empty: from the first */
-	int pages;                     /* that may still be asked for in this turn */
+	char after[CACHE_KEY_MAX + 1]; /* the last key listed; empty: start at the first */
+	int pages;                     /* left to request in this turn */
 };
 
 static struct checker checkers[CHECKERS_MAX];
-/* List orders alone: what else stands beside them may be a megabyte. */
-static struct checker of_drains = {.list = {"", DL_DRAIN}},
-		      of_rollouts = {.list = {"", DL_ROLLOUT}};
+/* These list orders only: other keys beside them may hold a megabyte. */
+static struct checker drains_checker = {.list = {"", DL_DRAIN}},
+		      rollouts_checker = {.list = {"", DL_ROLLOUT}};
 static int ncheckers;
 
-/* Orders are few, and told by whoever applies them. */
+/* Orders are few, and are sent to peers when they are applied. */
 static int lists_orders(const struct checker *c)
 {
 	return c->list.of == DL_DRAIN || c->list.of == DL_ROLLOUT;
@@ -30,7 +30,7 @@
 
 static void on_page(const struct st_reply *r, void *user);
 
-static void ask(struct checker *c)
+static void request_page(struct checker *c)
 {
 	c->call = st_range(c->list.prefix, c->after[0] ? c->after : NULL, on_page, c);
 }
@@ -44,7 +44,7 @@
 	return keys;
 }
 
-/* Whether what stands between two keys is known: pages come in the order of keys. */
+/* Whether the page is in key order, so that a cached key that it lacks was removed. */
 static int is_in_order(const struct checker *c, const struct st_reply *r)
 {
 	const char *before = c->after;
@@ -57,7 +57,7 @@
 	return 1;
 }
 
-static void tell_missing(const GPtrArray *keys, uint64_t at)
+static void send_missing(const GPtrArray *keys, uint64_t at)
 {
 	uint32_t i;
 
@@ -68,21 +68,22 @@
 	}
 }
 
-/* What was told nowhere yet: its watch says so, too, unless it has fallen silent. */
-static void take_page(struct checker *c, const struct st_reply *r)
+/* Applies a page. Items newer than the cache are sent to peers, as the watch that should have
+ * returned them may be silent. */
+static void apply_page(struct checker *c, const struct st_reply *r)
 {
 	const char *last = r->more && r->n ? r->items[r->n - 1].key : NULL;
-	struct board_page page = {c->list.prefix, c->after, last};
+	struct cache_page page = {c->list.prefix, c->after, last};
 	GHashTable *listed = keys_of(r);
 	GPtrArray *missing;
 	size_t i;
 
 	for (i = 0; i < r->n; i++)
-		if (board_apply(&r->items[i], board_platform) && !lists_orders(c))
+		if (cache_apply(&r->items[i], cache_platform) && !lists_orders(c))
 			mesh_tell_items(&r->items[i], 1);
 	if (is_in_order(c, r)) {
-		missing = board_apply_missing_of(&page, listed, r->at);
-		if (!lists_orders(c)) tell_missing(missing, r->at);
+		missing = cache_apply_missing_page(&page, listed, r->at);
+		if (!lists_orders(c)) send_missing(missing, r->at);
 		g_ptr_array_unref(missing);
 	}
 	g_hash_table_destroy(listed);
@@ -96,8 +97,8 @@
 	c->call = NULL;
 	watch_note_reply(r);
 	if (r->rc) return;
-	take_page(c, r);
-	if (c->after[0] && (lists_orders(c) || --c->pages > 0)) ask(c);
+	apply_page(c, r);
+	if (c->after[0] && (lists_orders(c) || --c->pages > 0)) request_page(c);
 }
 
 void watch_check_lists(void)
@@ -108,9 +109,9 @@
 		struct checker *c = &checkers[i];
 
 		if (c->list.of == DL_CONF || c->call) continue;
-		if (c->after[0]) watch_glance();
-		c->pages = PAGES;
-		ask(c);
+		if (c->after[0]) watch_poll();
+		c->pages = PAGES_PER_TURN;
+		request_page(c);
 	}
 }
 
@@ -122,11 +123,11 @@
 static void check_orders(struct checker *c, const char *prefix)
 {
 	c->list.prefix = prefix;
-	if (!c->call) ask(c);
+	if (!c->call) request_page(c);
 }
 
 void watch_check_orders(void)
 {
-	check_orders(&of_drains, dl_drains);
-	check_orders(&of_rollouts, dl_rollouts);
+	check_orders(&drains_checker, dl_drains);
+	check_orders(&rollouts_checker, dl_rollouts);
 }
--- a/src/fleet/watch_reply.c
+++ b/src/fleet/watch_reply.c
@@ -1,4 +1,4 @@
-/* Whether the store serves this instance: every reply tells, whoever asked. */
+/* Whether the store answers this instance, by the replies to all of its calls. */
 #include "clock.h"
 #include "jlog.h"
 #include "mesh.h"
@@ -6,9 +6,9 @@
 #include "watch_impl.h"
 #include <errno.h>
 
-/* After so long one that the store failed counts as answered again while others are: it was
- * turned away alone, or has not asked since. */
-#define DOWN_US 5000000
+/* After this time without an answer the store counts as up again if it answers other instances:
+ * it refused this one alone, or has not been called since. */
+#define DOWN_MAX_US 5000000
 
 static int up = 1; /* the store answered the last call, or none was made */
 static int64_t down_since_us;
@@ -35,10 +35,10 @@
 void watch_check_down(void)
 {
 	if (up || !mesh_store_answers()) return;
-	if (clock_us() - down_since_us > DOWN_US) set_up(1, 0);
+	if (clock_us() - down_since_us > DOWN_MAX_US) set_up(1, 0);
 }
 
-/* Also what it says no to is an answer. */
+/* A refusal by the store itself is an answer too. */
 static int is_answer(int rc)
 {
 	return !rc || rc == -ENOENT || rc == -ECANCELED || rc == -ESTALE;
--- a/src/internal/be.h
+++ b/src/internal/be.h
@@ -1,4 +1,4 @@
-/* Backend servers as this instance knows them: where, in which state, how loaded, how sound. */
+/* Backend servers (be) in this instance's view: address, state, load and health. */
 #ifndef SH_BE_H
 #define SH_BE_H
 #include "conf.h"
@@ -10,199 +10,205 @@
 
 enum be_state {
 	BE_READY,
-	BE_LEAVING, /* said so: gets no new work */
-	BE_GONE,    /* its entry went */
+	BE_LEAVING, /* announced that it stops: gets no new work */
+	BE_GONE,    /* its entry was removed */
 };
 
-/* Work of one instance, or of several added up, on one backend server. */
+/* Load of one instance, or the sum over several, on one backend server. */
 struct be_load {
-	uint32_t runs;    /* requests sent and not ended */
-	uint32_t unread;  /* prompt tokens of those that made no token yet */
-	uint32_t held;    /* tokens of memory they will come to, as far as foreseen */
-	uint32_t backup;  /* the same of copies kept there for runs elsewhere */
-	uint32_t used;    /* tokens of memory that runs and copies have now */
-	uint32_t bare;    /* of these, those of streams without a copy elsewhere */
-	uint32_t inbound; /* tokens of streams that are being moved there */
+	uint32_t runs;         /* requests in flight */
+	uint32_t prefill;      /* prompt tokens of runs that have produced no token yet */
+	uint32_t forecast;     /* tokens of memory that the runs are forecast to reach */
+	uint32_t replicas;     /* the same for replicas kept there for runs elsewhere */
+	uint32_t used;         /* tokens of memory that runs and replicas use now */
+	uint32_t unreplicated; /* the part of used that belongs to streams without a replica */
+	uint32_t inbound;      /* tokens of streams that are being moved there */
 };
 
-/* How exchanges of one instance with one backend server ended, since the instance's start. */
-struct be_ends {
+/* Outcomes of one instance's exchanges with one backend server since the instance's start. */
+struct be_outcomes {
 	uint32_t good, bad; /* bad: broken off, silent, or not reached */
 };
 
-/* A server that asked this instance to send it nothing for a while. After that it gets one
- * request, and with each that it does not turn away for rest one more at once, up to its
- * places, until nothing waits for it. */
-struct be_rest {
-	int64_t until_us, said_us; /* 0: it has not asked, or is over it */
-	uint32_t most, under_way;  /* exchanges at once, of those begun since */
-	int64_t full_us;           /* when there were last as many, and another wanted to go */
+/* Back-off that a server asked this instance for: it gets no request until until_us. Then one
+ * request may be in flight, and one more for each answer that does not ask for back-off again,
+ * up to the server's slots. It is over once that many are allowed and no request has waited for
+ * one of them lately. */
+struct be_backoff {
+	int64_t until_us, asked_us;        /* 0: none was asked for, or it is over */
+	uint32_t max_in_flight, in_flight; /* of exchanges begun after until_us */
+	int64_t last_full_us; /* when a request last had to wait for max_in_flight */
 };
 
 struct be {
 	int refs;
 	char *id;
-	int64_t born_ms; /* when this life of it began, by its own clock; 0: not told */
+	int64_t incarnation_ms; /* start of this incarnation by its own clock; 0: unknown */
 	char *service, *zone, *address;
-	char *version;      /* of its software; empty: not told */
-	const char *region; /* NULL: not told */
+	char *version;      /* of its software; empty: unknown */
+	const char *region; /* NULL: unknown */
 	struct sockaddr_in sa;
 	enum be_state state;
-	int leaves_by_word; /* its own, or another instance's: its entry may not tell */
-	int unreadable;     /* its entry is, for now */
-	int64_t drained_us; /* since when its data centre has been drained; 0: it is not */
-	int64_t barred_us;  /* since when its version gets no work any more; 0: it may */
+	int leaving_reported; /* by its own answers or another instance; its entry may lag */
+	int unreadable;       /* its entry can't be parsed at present */
+	int64_t drained_us;   /* since when its data centre is drained; 0: it is not */
+	int64_t blocked_us;   /* since when its version is blocked; 0: it is not */
 	/* Its part in a rollout of its service: bits of enum ro_part. */
 	uint32_t ro_part;
-	int64_t broke_us; /* when an exchange with it broke off last */
+	int64_t last_broken_us; /* when an exchange with it last broke off */
 	uint32_t slots;
-	int64_t since_us;      /* monotonic: when state became what it is */
-	int64_t cold_until_us; /* cold until then, as it told */
-	int64_t back_us;       /* when it came to be used, or was taken back; 0: long ago */
-	struct be_rest rest;
+	int64_t state_since_us; /* monotonic: last change of state */
+	int64_t cold_until_us;  /* end of its cold start, as it announced */
+	/* When it was added, listed again or restored; 0: at this instance's start. */
+	int64_t available_us;
+	struct be_backoff backoff;
 	struct quota_pace pace[QUOTA_KINDS]; /* of this instance's requests to it */
-	int64_t lapsed_us; /* its entry is missing since the platform's return; 0: it is not */
-	/* It may be leaving, though no entry can say so now: */
+	int64_t lapsed_us; /* since when its entry is missing after a store outage; 0: it is not
+			    */
+	/* It is suspected to be leaving while no entry can confirm it: since when and until
+	 * when. */
 	int64_t suspect_us, suspect_until_us;
 	struct be_load own, others;
 	/* From this instance's own exchanges: */
-	int64_t busy_until_us;    /* it turned a request away */
-	int64_t full_until_us;    /* it had no room for memory that was to be moved there */
-	int refused;              /* a connection, and no exchange went well since */
-	double failing;           /* part of its exchanges that failed, newest first */
-	int64_t ejected_until_us; /* gets no work before; 0: sound */
-	int64_t eject_us;         /* how long the last time */
-	struct be_ends ends;
-	/* From those of all instances: */
-	uint32_t bad_row; /* bad ends without a good one between, each of another instance */
-	uint32_t bad_by;  /* whose the last of them was */
-	double answer_us; /* moving average of plain answers; 0: none yet */
-	uint32_t answers; /* that it is made of */
-	struct limit_word limit; /* what it said last of the requests that it takes */
-	int64_t limited_us;      /* since when this instance knows of a limit, or of its end; 0:
-				    never */
-	int64_t unread_us;       /* when a word that can't be used was logged last */
-	int limit_heard;         /* its own answers said so since others were told */
-	int probed;              /* its health check or report was asked for and has not come */
-	int dirty;               /* own load changed since peers were told */
+	int64_t busy_until_us;    /* it rejected a request */
+	int64_t full_until_us;    /* it had no free memory for a stream to be moved there */
+	int refused;              /* it refused a connection, and no exchange succeeded since */
+	double failure_rate;      /* moving average over its exchanges */
+	int64_t ejected_until_us; /* gets no work until then; 0: healthy */
+	int64_t eject_us;         /* duration of the last ejection */
+	struct be_outcomes outcomes;
+	/* From the exchanges of all instances: */
+	uint32_t bad_streak; /* bad outcomes in a row, each of another instance than the last */
+	uint32_t last_bad_by;     /* the instance of the last of them */
+	double latency_us;        /* moving average over plain answers; 0: none yet */
+	uint32_t latency_samples; /* answers in latency_us */
+	struct limit_word limit;  /* the rate limit that it announced last */
+	/* When this instance last learned of a limit or of its end; 0: never. */
+	int64_t limit_changed_us;
+	int64_t unusable_logged_us; /* when an unusable notice of it was last logged */
+	int limit_pending; /* its own answer confirmed the limit; peers were not sent it */
+	int probing;       /* a health check or report is in flight */
+	int load_dirty;    /* own load changed since it was last sent to peers */
 };
 
-struct be_info { /* an entry as the platform lists it */
+struct be_info { /* an entry of the platform's list */
 	const char *id, *service, *zone, *address, *version;
 	uint32_t slots;
 	int leaving;
 	int64_t cold_us;
-	int64_t born_ms; /* 0: not told */
+	int64_t incarnation_ms; /* 0: unknown */
 };
 
-/* A new or changed entry, or one that stands again after it had lapsed. One of a newer life
- * ends the life before; one of an older life changes nothing. 0 or -EINVAL (no such address, or
- * that of an instance). */
+/* Applies a new or changed entry, or one that is listed again after it had lapsed. An entry of
+ * a newer incarnation ends the one before; one of an older incarnation is ignored. Returns 0,
+ * or -EINVAL if the address can't be parsed or is that of an instance. */
 int be_update(const struct be_info *i);
-/* Whether word of that life is word of b: where a life is not told, there is one. */
-int be_is_life(const struct be *b, int64_t born_ms);
-/* It leaves: said by its entry or by its own answer. Never turned back in this life. */
-void be_leaving(struct be *b, const char *said_by);
-/* The same told by another instance, which may know a newer or an older life: word of a newer
- * one is kept until its entry comes. */
-void be_told_leaving(const char *id, int64_t born_ms, const char *said_by);
-/* A newer life answers at its address, or is listed: nothing of this one goes on. */
-void be_end_life(struct be *b, const char *said_by);
-/* Its entry can't be read: it gets no new work until it can, and what runs there goes on. */
-void be_unreadable(const char *id);
-void be_gone(const char *id);
-/* Its entry is missing, but the platform was away: it is gone only if the entry does not come
- * back within be_need_us. */
-void be_lapsed(const char *id);
-/* Those whose entries did not come back are gone; to be called every tenth of a second or so.
- */
+/* Whether a message about that incarnation concerns b; an unknown incarnation matches any. */
+int be_is_incarnation(const struct be *b, int64_t incarnation_ms);
+/* Marks b as leaving, by its entry or its own answer. Never undone for this incarnation. */
+void be_set_leaving(struct be *b, const char *said_by);
+/* Applies the same from another instance, which may have a newer or older incarnation: a report
+ * about a newer one is kept until its entry arrives. */
+void be_apply_leaving(const char *id, int64_t incarnation_ms, const char *said_by);
+/* Ends b because a newer incarnation answers at its address or is listed: every exchange with
+ * it is over. */
+void be_end_incarnation(struct be *b, const char *said_by);
+/* Its entry can't be parsed: it gets no new work until it can; runs there continue. */
+void be_set_unreadable(const char *id);
+void be_set_gone(const char *id);
+/* Its entry is missing after an outage of the store: it is gone only if the entry is not listed
+ * again within be_last_resort_us. */
+void be_set_lapsed(const char *id);
+/* Marks servers as gone whose lapsed entries were not listed again; to be called about ten
+ * times a second. */
 void be_check_lapsed(void);
-/* Operators drain a data centre, or take it back: its servers get nothing new meanwhile, and
- * what runs there goes on elsewhere where it can. */
+/* Operators drain a data centre or restore it: its servers get no new work meanwhile, and runs
+ * there are moved elsewhere where possible. */
 void be_drain_dc(const char *dc, int drained);
 int be_dc_is_drained(const char *dc);
-/* Whether a stream whose memory is there alone may still go on there: not where its data centre
- * has been drained for be_drain_need_us, even if it is lost. */
-int be_may_go_on(const struct be *b);
-/* Where a data centre lies; NULL: not told. */
+/* Whether a stream whose memory is only at b may still continue there: not once its data centre
+ * has been drained for be_drain_grace_us, even if the stream is lost by that. */
+int be_may_continue(const struct be *b);
+/* The region of a data centre; NULL: unknown. */
 void be_set_region(const char *dc, const char *region);
 const char *be_region_of(const char *dc);
-/* Whether no server of the service is ready but in drained data centres, and one is there. */
+/* Whether the service has ready servers, all of them in drained data centres. */
 int be_only_drained(const char *service);
-/* Servers stand in a data centre of that name. */
-void be_know_dc(const char *name);
-/* Names of the data centres where servers stand, or stood, or which are drained. Free with
+/* Records the name of a data centre that has servers. */
+void be_add_dc(const char *name);
+/* Names of the data centres that have or had servers, or are drained. Free with
  * g_ptr_array_unref. */
 GPtrArray *be_dcs(void);
-/* It may leave: what runs there is moved, and it gets no new work for a moment unless it is
- * said again. */
-void be_suspect(struct be *b, const char *said_by);
-void be_told_suspect(const char *id, int64_t born_ms, const char *said_by);
-/* Servers of that version get nothing new, and what runs there goes on elsewhere; or may again.
+/* Suspects b of leaving: its runs are moved, and it gets no new work for some seconds after the
+ * last report. */
+void be_set_suspect(struct be *b, const char *said_by);
+void be_apply_suspect(const char *id, int64_t incarnation_ms, const char *said_by);
+/* Blocks or unblocks a version: servers of a blocked version get no new work, and runs there
+ * are moved elsewhere. */
+void be_block_version(const char *service, const char *version, int on);
+int be_version_is_blocked(const char *service, const char *version);
+/* Whether it is leaving, gone or suspect, or its data centre is drained or its version blocked.
  */
-void be_bar_version(const char *service, const char *version, int on);
-int be_version_is_barred(const char *service, const char *version);
-/* Whether it leaves, is gone, or may be leaving, or its data centre is drained, or its version
- * barred. */
-int be_leaves(const struct be *b);
-/* Microseconds since it was first known that it does. */
-int64_t be_left_for_us(const struct be *b);
+int be_is_leaving(const struct be *b);
+/* Microseconds since that became known. */
+int64_t be_leaving_for_us(const struct be *b);
 struct be *be_find(const char *id);
-/* All known of a service, those leaving and gone too; NULL when none. */
-const GPtrArray *be_of(const char *service);
+/* All servers of a service, also leaving and gone ones; NULL: none. */
+const GPtrArray *be_of_service(const char *service);
 const GPtrArray *be_all(void);
 struct be *be_ref(struct be *b);
 void be_unref(struct be *b);
 
-/* Its own load changed. */
-void be_note_use(struct be *b);
-/* Those on which this instance has requests, copies, or memory on its way. Free with
- * g_ptr_array_unref. */
+/* To be called when b->own changed. */
+void be_update_use(struct be *b);
+/* Servers with runs, replicas or inbound memory of this instance. Free with g_ptr_array_unref.
+ */
 GPtrArray *be_in_use(void);
 
-/* It says that it is cold for so long. */
-void be_cold(struct be *b, int64_t for_us);
-/* Whether it has named a limit, and no answer since was without one. */
-int be_limited(const struct be *b);
+/* It announced a cold start that lasts for_us. */
+void be_set_cold(struct be *b, int64_t for_us);
+/* Whether its last answers named a rate limit. */
+int be_is_limited(const struct be *b);
 
-/* be_sound.c: */
-/* An exchange went well or not: one that fails too often is ejected for a while, in a cap. */
+/* be_health.c: */
+/* An exchange succeeded or failed: a server that fails too often is ejected for a while, with a
+ * cap on the share of ejected servers. */
 void be_succeeded(struct be *b, int64_t took_us);
-/* How little its answers' average says, 0 to 1: few of them are chance. */
-double be_answer_doubt(const struct be *b);
+/* Uncertainty of b->latency_us, 0 to 1: a few samples may be chance. */
+double be_latency_uncertainty(const struct be *b);
 void be_failed(struct be *b, const char *why);
-/* It answered, with a failure: not held against it by other instances, whose requests are
- * others. */
-void be_answered_badly(struct be *b);
-/* Exchanges of another instance, known by any number but 0, ended so. Two in a row that end
- * badly, of two instances, eject it here, too. */
-void be_heard(struct be *b, uint32_t instance, struct be_ends since);
-/* Nothing listens at its address: ejected at once, its list entry may tell late or never. */
+/* It answered with a failure. Not reported to other instances, as their requests differ. */
+void be_answered_error(struct be *b);
+/* Applies outcomes of another instance (any number but 0). Two bad ones in a row, of two
+ * instances, eject the server here too. */
+void be_apply_outcomes(struct be *b, uint32_t instance, struct be_outcomes since);
+/* It refused a connection: ejected at once, as its entry may change late or never. */
 void be_refused_connection(struct be *b);
-/* It turned a request away: others are asked first for a moment. */
-void be_turned_away(struct be *b);
-/* It has no room for the memory of a stream: others are moved elsewhere for a moment. */
-void be_no_room(struct be *b);
-/* Microseconds until it may get new work, as far as is known; INT64_MAX: it leaves. */
+/* It rejected a request as busy: other servers are preferred for a moment. */
+void be_rejected_request(struct be *b);
+/* It has no free memory for a stream: streams are moved elsewhere for a moment. */
+void be_memory_full(struct be *b);
+/* Microseconds until it may get new work; INT64_MAX: no time is known, e.g. it is leaving. */
 int64_t be_usable_in(const struct be *b, int64_t now);
-/* May get new work now. */
+/* Whether it may get new work now. */
 int be_usable(const struct be *b, int64_t now);
-/* Entries that lapsed all together are better than nothing for a moment. */
+/* Whether it may be used when no server is usable: it is ready, or its entry went less than
+ * be_last_resort_us ago, as entries may lapse all together. */
 int be_last_resort(const struct be *b, int64_t now);
 
-/* Called when a backend server begins to leave or is gone; set once. */
+/* Called when a server starts to leave or is gone; set once. */
 extern void (*be_on_leaving)(struct be *b);
-/* Called when a life is over, and before its state changes; set once. */
-extern void (*be_on_ended)(struct be *b);
-/* Whether an instance has this address, where no backend server stands; NULL: it is not known.
- */
+/* Called when an incarnation ended, before its state changes; set once. */
+extern void (*be_on_incarnation_end)(struct be *b);
+/* Whether an instance has this address, so that no backend server can; NULL: unknown. */
 extern int (*be_is_instance)(const struct sockaddr_in *at);
-/* Its part in a rollout of its service, asked for when it is first listed; set once. */
+/* Its part in a rollout of its service, called when it is first listed; set once. */
 extern uint32_t (*be_ro_part)(const struct be *b);
-/* Called when a new one, or a new life, is listed; set once. */
+/* Called when a new server or incarnation is listed; set once. */
 extern void (*be_on_new)(struct be *b);
-/* How long after its notice a backend server may still get work in need; microseconds. */
-extern int64_t be_need_us;
-/* How long after a drain its servers may still get what can go nowhere else; microseconds. */
-extern int64_t be_drain_need_us;
+/* How long a server whose entry went may still get work as a last resort; microseconds. */
+extern int64_t be_last_resort_us;
+/* How long after a drain its servers may still get work that can go nowhere else; microseconds.
+ */
+extern int64_t be_drain_grace_us;
 #endif
--- a/src/internal/bx.h
+++ b/src/internal/bx.h
@@ -1,10 +1,10 @@
-/* Exchanges with backend servers, of whatever kind: each begins here, so that what a server
- * says of itself is read from every answer and what it bears is counted for every request. */
+/* Exchanges with backend servers (bx) of any kind. Each one starts here, so that the notices in
+ * every answer are read and every request counts towards the server's rate limit. */
 #ifndef SH_BX_H
 #define SH_BX_H
 #include "be.h"
 #include "hx.h"
 
-/* As hx_start, with b. */
+/* Starts an exchange with b, as hx_start. */
 int bx_start(struct hx *x, struct be *b, GString *request, int64_t connect_us);
 #endif
--- a/src/internal/leave.h
+++ b/src/internal/leave.h
@@ -1,13 +1,13 @@
-/* Servers that leave, or may, by what they say themselves: known before their entries tell, or
- * while the store is away, and told to the other instances. */
+/* Servers that announce or are suspected to leave: applied here before their entries show it,
+ * or while the store is down, and sent to the other instances. */
 #ifndef SH_LEAVE_H
 #define SH_LEAVE_H
 #include "be.h"
 
-/* Once, before the mesh's start. */
+/* To be called once, before the mesh's start. */
 void leave_start(void);
-/* b's own answer says so; said_by: which. */
-void leave_said(struct be *b, const char *said_by);
+/* An answer of b itself announces that it leaves; said_by: which answer. */
+void leave_report(struct be *b, const char *said_by);
 /* Its health check fails. */
-void leave_suspected(struct be *b, const char *said_by);
+void leave_report_suspect(struct be *b, const char *said_by);
 #endif
--- a/src/internal/mesh.h
+++ b/src/internal/mesh.h
@@ -3,7 +3,7 @@
 #ifndef SH_MESH_H
 #define SH_MESH_H
 #include "be.h"
-#include "board.h"
+#include "cache.h"
 #include "entry_cfg.h"
 #include <stdint.h>
 
@@ -28,7 +28,7 @@
 int mesh_self_hub(void);
 /* Passes on what is newer than base, which this instance just heard from the store. Of what is
  * large others are only told that it is here. */
-void mesh_pass_on(struct board_revs base);
+void mesh_pass_on(struct cache_revs base);
 /* Passes on items of backend servers that were found changed, as they are: nothing is said of
  * what else has changed. */
 void mesh_tell_items(const struct st_item *items, size_t n);
--- a/src/internal/mesh_impl.h
+++ b/src/internal/mesh_impl.h
@@ -1,7 +1,7 @@
 /* Private to src/fleet/mesh*.c. */
 #ifndef SH_MESH_IMPL_H
 #define SH_MESH_IMPL_H
-#include "board.h"
+#include "cache.h"
 #include "cn.h"
 #include "mesh.h"
 #include "mesh_topic.h"
@@ -16,7 +16,7 @@
 	int ready, draining, store_up, store_late;
 	int link_mbps; /* 0: not told */
 	int serves;    /* callers come to it: it needs to know the loads of others */
-	struct board_revs revs;
+	struct cache_revs revs;
 	int64_t confirmed_ago_us; /* -1: never */
 	int64_t stamp_us;         /* the sender's clock */
 	int64_t echo_us;          /* the receiver's stamp that came last; 0: none */
@@ -33,7 +33,7 @@
 	char id[ENTRY_TEXT_MAX + 1];
 	int64_t born_ms; /* which life of it; 0: not told */
 	struct be_load load;
-	struct be_ends ends;
+	struct be_outcomes ends;
 };
 
 struct member {
@@ -52,7 +52,7 @@
 	int refused;            /* nothing listens there, since it was heard last */
 	int64_t echoed_us;      /* newest of this instance's stamps that it has said to have */
 	int64_t fetch_after_us; /* it refused a copy: not asked again before */
-	struct board_revs held; /* what another instance said that it has */
+	struct cache_revs held; /* what another instance said that it has */
 	GHashTable *loads;      /* id -> struct told_load */
 	GHashTable *ends;       /* id -> struct told_ends */
 };
@@ -79,10 +79,10 @@
 void mesh_write_beat(GString *out, const struct mesh_beat *b);
 void mesh_write_loads(GString *out, const struct mesh_row *row, int n, int whole);
 /* dc: of the one that asks, as in its beats. */
-void mesh_write_fetch(GString *out, struct board_revs after, uint32_t dc);
-void mesh_write_items(GString *out, struct board_revs after);
+void mesh_write_fetch(GString *out, struct cache_revs after, uint32_t dc);
+void mesh_write_items(GString *out, struct cache_revs after);
 /* The same unasked: for those who know all up to after. */
-void mesh_write_news(GString *out, struct board_revs after);
+void mesh_write_news(GString *out, struct cache_revs after);
 /* Up to most of the members that have all that this instance has, drawn: of that data centre,
  * if there are any (0: of any). */
 void mesh_write_holders(GString *out, int most, uint32_t dc);
@@ -93,7 +93,7 @@
 /* Bytes of items: more is not passed on unasked, and counts as a copy that is handed on. */
 #define MESH_SMALL_MAX 8192
 /* About as many bytes as a frame with the items newer than after has; 0: there are none. */
-size_t mesh_items_size(struct board_revs after);
+size_t mesh_items_size(struct cache_revs after);
 
 struct mesh_in { /* frames from another instance */
 	struct cn cn;
@@ -110,7 +110,7 @@
 /* mesh_read.c: what is malformed gives -EBADMSG, but an integer 0. */
 int mesh_read_beat(const msgpack_object_array *a, struct mesh_beat *b);
 int mesh_read_row(const msgpack_object *o, struct mesh_row *r);
-int mesh_read_revs(const msgpack_object_array *a, struct board_revs *after);
+int mesh_read_revs(const msgpack_object_array *a, struct cache_revs *after);
 int mesh_read_item(const msgpack_object *o, struct st_item *i, char *key, size_t max);
 /* The width of a link, within what machines have. */
 int mesh_mbps(const msgpack_object *o);
@@ -221,7 +221,7 @@
 void mesh_tell_death(const struct member *m);
 /* News came from another instance: passes what is newer than base on to those that have it from
  * this hub. */
-void mesh_forward(struct board_revs base);
+void mesh_forward(struct cache_revs base);
 
 /* The same of one item that says nothing of others. */
 void mesh_forward_item(const struct st_item *item);
@@ -234,13 +234,13 @@
 /* Fetches what this instance lacks, if m has it and nothing is under way. */
 void mesh_fetch_soon(const struct member *m);
 /* m has, by another instance's word, what this one lacks up to those revisions. */
-void mesh_fetch_holder(struct member *m, struct board_revs held);
+void mesh_fetch_holder(struct member *m, struct cache_revs held);
 /* m is about to be freed. */
 void mesh_fetch_forget(const struct member *m);
 
 /* mesh_serve.c */
 /* Hands on what is newer than after. 0; -EBUSY: too much is under way; -ENOENT: nothing is. */
-int mesh_serve(struct mesh_in *in, struct board_revs after, uint32_t dc);
+int mesh_serve(struct mesh_in *in, struct cache_revs after, uint32_t dc);
 /* The connection is about to be dropped. */
 void mesh_serve_end(struct mesh_in *in);
 
--- a/src/internal/roster.h
+++ b/src/internal/roster.h
@@ -1,10 +1,10 @@
-/* Instances find each other through leased keys in the platform's store: with all seeds gone,
- * a new one still meets the others. */
+/* Discovery of other instances through leased keys in the platform's store, so that a new
+ * instance finds the others even if all its seeds are gone. */
 #ifndef SH_ROSTER_H
 #define SH_ROSTER_H
 #include "entry_cfg.h"
 
 void roster_start(const struct entry_cfg *c);
-/* Gives the lease back. */
+/* Releases the lease. */
 void roster_leave(void);
 #endif
--- a/src/internal/rq_impl.h
+++ b/src/internal/rq_impl.h
@@ -1,7 +1,7 @@
 /* Private to src/relay/rq*.c. */
 #ifndef SH_RQ_IMPL_H
 #define SH_RQ_IMPL_H
-#include "board.h"
+#include "cache.h"
 #include "budget.h"
 #include "dialect.h"
 #include "ev.h"
--- a/src/internal/watch.h
+++ b/src/internal/watch.h
@@ -1,16 +1,17 @@
-/* Keeps the board current from the platform's store: lists, watches, confirmations. */
+/* Keeps the cache up to date with the platform's store by listings, watches and confirmations.
+ */
 #ifndef SH_WATCH_H
 #define SH_WATCH_H
 #include "dialect.h"
 #include "store.h"
 
-/* first: of the whole fleet, whose lists a few may get for all. */
+/* first: the whole fleet starts for the first time, and a few instances may list for all. */
 void watch_start(int first);
-/* All changes of backend servers after this revision are known here, the keys that went too; 0:
+/* All changes of backend servers after this revision are cached here, removed keys included; 0:
  * none yet. */
 uint64_t watch_backends_from(void);
-/* All changes of such items after one revision, up to another, have come from a peer. */
-void watch_told(enum dl_item kind, uint64_t after, uint64_t upto);
-/* Every reply of the store, whoever asked, tells whether it serves this instance. */
+/* A peer has forwarded all changes of items of that kind after one revision up to another. */
+void watch_forwarded(enum dl_item kind, uint64_t after, uint64_t upto);
+/* Records whether the store answers this instance; to be called with every reply of it. */
 void watch_note_reply(const struct st_reply *r);
 #endif
--- a/src/internal/watch_impl.h
+++ b/src/internal/watch_impl.h
@@ -7,32 +7,35 @@
 /* watch_reply.c */
 /* Whether the store answered the last call. */
 int watch_store_up(void);
-/* To be called now and then: whether what it failed is long ago, and others are answered. */
+/* To be called periodically: counts the store as up again if this instance's last failure is
+ * long ago and the store answers other instances. */
 void watch_check_down(void);
 
 /* watch.c */
-/* Takes what the store said and passes it on; listed_us: a listing that was asked for then,
- * else 0. */
+/* Applies a reply of the store and forwards it; listed_us: when a listing was requested, 0 for
+ * other calls. */
 void watch_apply(const struct st_reply *r, int64_t listed_us);
-/* A watch that waits on a connection which the store has forgotten says nothing: when another
- * call shows changes that it did not tell, or the store comes back, it is made anew. */
-void watch_anew(void);
+/* Starts all watches again. A watch on a connection that the store has forgotten stays silent;
+ * this is called when another call shows changes that the watch did not, or the store is back.
+ */
+void watch_restart(void);
 /* watch_check.c */
-/* Whoever confirms the configuration for all also lists the rest for all: watches that are
- * silent, or waited for by instances that are cut off, hide nothing for long. */
+/* Lists part of each list again, except the configuration. The instance that confirms the
+ * configuration does so for all, which bounds how long a silent watch or the watch of an
+ * instance that is cut off can hide a change. */
 void watch_check_lists(void);
-/* A list that is checked. */
+/* Adds a list to those that are checked. */
 void watch_check_add(struct dl_list list);
-/* The same of operators' orders, when one is not as this instance believes. */
+/* Lists the operators' orders again, when one of them is not as it is cached here. */
 void watch_check_orders(void);
-/* Whether a listing or a watch is being answered with a configuration. */
+/* Whether part of an answer to a listing or watch of the configuration has been received. */
 int watch_receives_conf(void);
 
-/* Ends watches that others have taken over. */
-void watch_leave_to_others(void);
+/* Ends watches that other instances have taken over. */
+void watch_release(void);
 
-/* Asks, apart from a watch that may be silent, what has changed of backend servers. */
-void watch_glance(void);
+/* Polls for changes of backend servers, independently of a watch that may be silent. */
+void watch_poll(void);
 
 /* watch_confirm.c */
 void watch_confirm_start(void);
--- a/src/relay/rq.c
+++ b/src/relay/rq.c
@@ -43,8 +43,8 @@
 		jlog_int(g, "pause_ended_ms", (r->gap_at_us - r->began_us) / 1000);
 	}
 	if (r->conf) jlog_int(g, "configuration", r->conf->version);
-	if (board_confirmed_us() != BOARD_NEVER)
-		jlog_int(g, "configuration_age_ms", (now - board_confirmed_us()) / 1000);
+	if (cache_confirmed_us() != CACHE_NEVER)
+		jlog_int(g, "configuration_age_ms", (now - cache_confirmed_us()) / 1000);
 	jlog_end(g);
 }
 
@@ -224,7 +224,7 @@
 static void move_elsewhere(struct rq *r)
 {
 	move_stop(r);
-	if (r->leg && be_leaves(r->leg->be)) move_begin(r);
+	if (r->leg && be_is_leaving(r->leg->be)) move_begin(r);
 }
 
 void rq_on_leaving(struct be *b)
--- a/src/relay/rq_answer.c
+++ b/src/relay/rq_answer.c
@@ -44,7 +44,7 @@
 	if (a.not_run) {
 		l->not_run = 1;
 		if (x->hp.head.status == 421)
-			leave_said(l->be, "another incarnation answers at its address");
+			leave_report(l->be, "another incarnation answers at its address");
 		return -ECANCELED;
 	}
 	if (!a.id || strcmp(a.id, r->in.id)) {
@@ -139,7 +139,7 @@
 		be_succeeded(l->be, 0);
 		leg_tell_version(l,
 				 RO_WELL); /* its end may come when it is too late to judge */
-		if (be_leaves(r->leg->be)) move_begin(r);
+		if (be_is_leaving(r->leg->be)) move_begin(r);
 	}
 	move_go_on(r);
 	return 0;
--- a/src/relay/rq_begin.c
+++ b/src/relay/rq_begin.c
@@ -17,7 +17,7 @@
 int rq_confirmed(const struct rq *r)
 {
 	if ((r->route && r->route->open) || !rq_cfg->fail_closed) return 1;
-	return clock_us() - board_confirmed_us() < rq_cfg->revoke_us;
+	return clock_us() - cache_confirmed_us() < rq_cfg->revoke_us;
 }
 
 int rq_key_known(const struct rq *r, const struct conf *c)
@@ -28,7 +28,7 @@
 /* 0, or refuses r. */
 static int check(struct rq *r)
 {
-	struct conf *c = board_conf();
+	struct conf *c = cache_conf();
 
 	if (dl_read_request(&r->h->hp.head, &r->in)) {
 		rq_refuse(r, REF_BAD_REQUEST, 0, "a field of the head is missing or malformed");
--- a/src/relay/rq_end.c
+++ b/src/relay/rq_end.c
@@ -32,7 +32,7 @@
 	struct rq *r = l->rq;
 
 	log_broke(l, "not_run", 0);
-	be_turned_away(l->be);
+	be_rejected_request(l->be);
 	leg_read(l);
 	if (rq_may_repeat(r))
 		again(r, RETRY_ENGINE_STATUS);
@@ -99,7 +99,7 @@
 		rq_answer(r, head);
 		return;
 	}
-	be_answered_badly(l->be);
+	be_answered_error(l->be);
 	r->runs++;
 	if (may_run_again(r)) {
 		again(r, RETRY_ENGINE_STATUS);
--- a/src/relay/rq_load.c
+++ b/src/relay/rq_load.c
@@ -55,13 +55,13 @@
 {
 	uint32_t bare = is_bare(l) ? used : 0;
 
-	l->be->own.held += held - l->held;
+	l->be->own.forecast += held - l->held;
 	l->be->own.used += used - l->used;
-	l->be->own.bare += bare - l->bare;
+	l->be->own.unreplicated += bare - l->bare;
 	l->bare = bare;
 	mesh_load_changed(l->be);
 	if (l->backup) {
-		l->backup->own.backup += held - l->held;
+		l->backup->own.replicas += held - l->held;
 		l->backup->own.used += used - l->used;
 		mesh_load_changed(l->backup);
 	}
@@ -80,8 +80,8 @@
 void leg_count_in(struct leg *l)
 {
 	l->be->own.runs++;
-	be_note_use(l->be);
-	if (l->reading) l->be->own.unread += l->rq->job.prompt;
+	be_update_use(l->be);
+	if (l->reading) l->be->own.prefill += l->rq->job.prompt;
 	leg_recount(l);
 }
 
@@ -97,14 +97,14 @@
 {
 	if (!l->reading) return;
 	l->reading = 0;
-	l->be->own.unread -= l->rq->job.prompt;
+	l->be->own.prefill -= l->rq->job.prompt;
 	mesh_load_changed(l->be);
 }
 
 void leg_drop_backup(struct leg *l)
 {
 	if (!l->backup) return;
-	l->backup->own.backup -= l->held;
+	l->backup->own.replicas -= l->held;
 	l->backup->own.used -= l->used;
 	mesh_load_changed(l->backup);
 	be_unref(l->backup);
@@ -124,7 +124,7 @@
 {
 	struct left_copy *c = (struct left_copy *)t;
 
-	c->be->own.backup -= c->held;
+	c->be->own.replicas -= c->held;
 	c->be->own.used -= c->used;
 	mesh_load_changed(c->be);
 	be_unref(c->be);
@@ -138,7 +138,7 @@
 	c->timer.fire = on_copy_over;
 	c->be = be_ref(l->backup);
 	c->held = c->used = l->used;
-	c->be->own.backup += c->held;
+	c->be->own.replicas += c->held;
 	c->be->own.used += c->used;
 	ev_in(&c->timer, l->rq->service->handle_us);
 }
--- a/src/relay/rq_move_copy.c
+++ b/src/relay/rq_move_copy.c
@@ -28,7 +28,7 @@
 	GString *out;
 	struct hx *x;
 
-	if (pace_wait_us(at, conf_service(board_conf(), at->service), clock_us())) return;
+	if (pace_wait_us(at, conf_service(cache_conf(), at->service), clock_us())) return;
 	out = g_string_new(NULL);
 	x = hx_new(NULL);
 	dl_write_drop(out, at, name);
@@ -98,7 +98,7 @@
 static int may_copy_again(const struct rq *r)
 {
 	if (clock_us() - r->move.ordered_us < CALM_US) return 0;
-	return be_left_for_us(r->move.source) < LAST_US;
+	return be_leaving_for_us(r->move.source) < LAST_US;
 }
 
 /* Its engine has put it off for lack of memory: there is nothing to copy until it is read
@@ -106,7 +106,7 @@
 static void not_running(struct rq *r)
 {
 	met_add(MET_PREEMPTIONS, 1);
-	if (be_leaves(r->move.source))
+	if (be_is_leaving(r->move.source))
 		move_later(r, NOT_RUNNING_US);
 	else
 		move_stop(r);
@@ -118,7 +118,7 @@
 {
 	const struct be *b = r->move.source;
 
-	return !b->drained_us || be_may_go_on(b) || b->state != BE_READY;
+	return !b->drained_us || be_may_continue(b) || b->state != BE_READY;
 }
 
 static void on_copied(struct rq *r, int status, const struct dl_moved *moved)
@@ -138,7 +138,7 @@
 		move_order(r, 1);
 		return;
 	case 404: not_running(r); return;
-	case 503: be_no_room(r->move.target); /* fall through */
+	case 503: be_memory_full(r->move.target); /* fall through */
 	default: move_later(r, MOVE_AGAIN_US);
 	}
 }
--- a/src/relay/rq_move_next.c
+++ b/src/relay/rq_move_next.c
@@ -39,7 +39,7 @@
 
 static void go_on_at(struct rq *r, struct be *b, const struct be *copy_at, const char *copy)
 {
-	if (!be_may_go_on(b)) {
+	if (!be_may_continue(b)) {
 		move_lost(r, "its memory is in a data centre that is drained");
 		return;
 	}
@@ -161,7 +161,7 @@
 	again = may_ask_again(m, turned_away);
 	if (r->leg->hx && !by_handle) {
 		if (!again) give_up_copy(r->leg);
-		if (be_leaves(r->leg->be))
+		if (be_is_leaving(r->leg->be))
 			move_later(r, MOVE_AGAIN_US);
 		else
 			move_stop(r);
--- a/src/relay/rq_pick.c
+++ b/src/relay/rq_pick.c
@@ -18,9 +18,9 @@
 struct be_load rq_load_of(const struct be *b)
 {
 	return (struct be_load){.runs = b->own.runs + b->others.runs,
-				.unread = b->own.unread + b->others.unread,
-				.held = b->own.held + b->others.held,
-				.backup = b->own.backup + b->others.backup,
+				.prefill = b->own.prefill + b->others.prefill,
+				.forecast = b->own.forecast + b->others.forecast,
+				.replicas = b->own.replicas + b->others.replicas,
 				.used = b->own.used + b->others.used,
 				.inbound = b->own.inbound + b->others.inbound};
 }
@@ -59,14 +59,14 @@
 		.away = is_away(b, dc),
 		.slots = b->slots,
 		.runs = all.runs,
-		.unread = all.unread,
-		.held = all.held,
-		.backup = all.backup,
+		.unread = all.prefill,
+		.held = all.forecast,
+		.backup = all.replicas,
 		.used = all.used,
 		.tokens = r->service->tokens,
 		.inbound = all.inbound,
-		.answer_us = b->answer_us,
-		.doubt = be_answer_doubt(b),
+		.answer_us = b->latency_us,
+		.doubt = be_latency_uncertainty(b),
 	};
 }
 
@@ -134,7 +134,7 @@
 	be_walk(r->service->name, dc, rq_own_place(), consider, &c);
 	met_add(MET_COLD_PASSED_OVER, c.passed_over[PACE_COLD]);
 	met_add(MET_LIMIT_PASSED_OVER, c.passed_over[PACE_LIMIT]);
-	met_add(MET_REST_PASSED_OVER, c.passed_over[PACE_REST]);
+	met_add(MET_REST_PASSED_OVER, c.passed_over[PACE_BACKOFF]);
 	if (c.n) return &c;
 	c.last_resort = 1;
 	be_walk(r->service->name, dc, rq_own_place(), consider, &c);
@@ -197,7 +197,7 @@
  * stream went from one to the next after each event, 80 times in 0.4 s. */
 static int can_be_moved_to(const struct be *b)
 {
-	return !be_leaves(b) && !b->refused && b->full_until_us <= clock_us();
+	return !be_is_leaving(b) && !b->refused && b->full_until_us <= clock_us();
 }
 
 struct be *rq_pick_target(struct rq *r, const struct be *source)
--- a/src/relay/rq_poison.c
+++ b/src/relay/rq_poison.c
@@ -104,7 +104,7 @@
 /* Closed by the server's side, with no word before that it leaves. */
 static int may_have_ended(const struct be *b, int err)
 {
-	return !be_leaves(b) && (err == -EPIPE || err == -ECONNRESET);
+	return !be_is_leaving(b) && (err == -EPIPE || err == -ECONNRESET);
 }
 
 void leg_note_broken(const struct leg *l, int err)
--- a/src/relay/rq_room.c
+++ b/src/relay/rq_room.c
@@ -7,7 +7,7 @@
 			  int64_t now)
 {
 	struct be_load all = rq_load_of(b);
-	uint32_t foreseen = all.held + all.backup;
+	uint32_t foreseen = all.forecast + all.replicas;
 
 	*s = (struct forecast_site){
 		.usable_in_us = rq_usable_in(b, r, now),
--- a/src/relay/rq_send.c
+++ b/src/relay/rq_send.c
@@ -71,9 +71,9 @@
 	jlog_int(g, "send", r->sends);
 	jlog_int(g, "prompt", r->job.prompt);
 	jlog_int(g, "growth", r->job.growth);
-	jlog_int(g, "unread", all.unread);
-	jlog_int(g, "held", all.held);
-	jlog_int(g, "copies", all.backup);
+	jlog_int(g, "unread", all.prefill);
+	jlog_int(g, "held", all.forecast);
+	jlog_int(g, "copies", all.replicas);
 	jlog_int(g, "runs", all.runs);
 	jlog_end(g);
 }
@@ -112,7 +112,7 @@
 /* The newest configuration may have moved the route or taken the key since the request came. */
 static int still_allowed(struct rq *r)
 {
-	struct conf *c = board_conf();
+	struct conf *c = cache_conf();
 
 	if (c != r->conf && !rq_key_known(r, c)) {
 		rq_refuse(r, REF_UNAUTHORIZED, 0, "the key was taken away");
--- a/src/relay/rq_time.c
+++ b/src/relay/rq_time.c
@@ -46,7 +46,7 @@
 int64_t rq_reading_us(const struct rq *r)
 {
 	if (!r->service->engine || !r->leg) return 0;
-	return place_reading_us(rq_load_of(r->leg->be).unread);
+	return place_reading_us(rq_load_of(r->leg->be).prefill);
 }
 
 /* Silence of an engine that is at work says nothing of how sound it is: those that were
@@ -57,7 +57,7 @@
 	uint64_t taken = (uint64_t)all.used + all.inbound;
 
 	if (!r->service->engine) return 0;
-	if (all.unread > (r->leg->reading ? r->job.prompt : 0)) return 1;
+	if (all.prefill > (r->leg->reading ? r->job.prompt : 0)) return 1;
 	return taken * 100 >= (uint64_t)r->service->tokens * PRESSED_PERCENT;
 }
 
--- a/src/relay/rq_turn.c
+++ b/src/relay/rq_turn.c
@@ -35,8 +35,8 @@
 	t->s[t->n].gap_us = pace_gap_us(b, t->r->service, t->now);
 	if (t->s[t->n].first_us < t->least) t->first = b;
 	t->least = MIN(t->least, t->s[t->n].first_us);
-	if (b->answer_us > 0 && (!t->answer_us || b->answer_us < t->answer_us))
-		t->answer_us = b->answer_us;
+	if (b->latency_us > 0 && (!t->answer_us || b->latency_us < t->answer_us))
+		t->answer_us = b->latency_us;
 	return ++t->n < PLACE_SITES_MAX;
 }
 
@@ -101,7 +101,7 @@
 {
 	int64_t spread;
 
-	if (pace_is_others(first)) wait_us = MIN(wait_us, RETRY_LATER_US);
+	if (pace_lacks_share(first)) wait_us = MIN(wait_us, RETRY_LATER_US);
 	spread = MIN(wait_us / SPREAD_PART, G_MAXINT32 - 1);
 
 	rq_stop_waiting(r);
--- a/src/relay/rq_wait.c
+++ b/src/relay/rq_wait.c
@@ -30,7 +30,7 @@
  * known for a moment after a start: their list is on its way. */
 static int64_t work_out(const struct rq *r, uint64_t first)
 {
-	return board_revs().backends ? rq_room_in(r, first) : LISTS_US;
+	return cache_revs().backends ? rq_room_in(r, first) : LISTS_US;
 }
 
 /* Whether its first token still comes within its aim after such a wait. */
--- a/test/test_place.c
+++ b/test/test_place.c
@@ -347,41 +347,41 @@
 static void failures_at_two_instances_eject_a_server(void)
 {
 	struct be *b = two_servers("twice");
-	struct be_ends bad = {0, 1}, good = {1, 0};
+	struct be_outcomes bad = {0, 1}, good = {1, 0};
 
-	be_heard(b, ONE, bad);
-	be_heard(b, ONE, bad);
-	be_heard(b, ONE, bad);
+	be_apply_outcomes(b, ONE, bad);
+	be_apply_outcomes(b, ONE, bad);
+	be_apply_outcomes(b, ONE, bad);
 	CU_ASSERT(be_usable(b, clock_us())); /* it may be cut off itself */
-	be_heard(b, ONE, good);
-	be_heard(b, TWO, bad);
+	be_apply_outcomes(b, ONE, good);
+	be_apply_outcomes(b, TWO, bad);
 	CU_ASSERT(be_usable(b, clock_us())); /* not in a row */
-	be_heard(b, ONE, bad);
+	be_apply_outcomes(b, ONE, bad);
 	CU_ASSERT(!be_usable(b, clock_us()));
 }
 
 static void own_failures_count_with_those_of_others(void)
 {
 	struct be *b = two_servers("own");
-	struct be_ends bad = {0, 1};
+	struct be_outcomes bad = {0, 1};
 
-	be_answered_badly(b); /* may lie in the request: others' are others */
-	be_heard(b, ONE, bad);
+	be_answered_error(b); /* may lie in the request: others' are others */
+	be_apply_outcomes(b, ONE, bad);
 	CU_ASSERT(be_usable(b, clock_us()));
-	CU_ASSERT_EQUAL(b->ends.bad, 0);
+	CU_ASSERT_EQUAL(b->outcomes.bad, 0);
 	be_failed(b, "broke off");
-	CU_ASSERT_EQUAL(b->ends.bad, 1);
+	CU_ASSERT_EQUAL(b->outcomes.bad, 1);
 	CU_ASSERT(!be_usable(b, clock_us()));
 }
 
 static void a_leaving_server_is_not_ejected(void)
 {
 	struct be *b = two_servers("leaves");
-	struct be_ends bad = {0, 1};
+	struct be_outcomes bad = {0, 1};
 
-	be_leaving(b, "test");
-	be_heard(b, ONE, bad);
-	be_heard(b, TWO, bad);
+	be_set_leaving(b, "test");
+	be_apply_outcomes(b, ONE, bad);
+	be_apply_outcomes(b, TWO, bad);
 	CU_ASSERT_EQUAL(b->ejected_until_us, 0);
 }
 
--- a/test/test_pure.c
+++ b/test/test_pure.c
@@ -1,6 +1,6 @@
 /* The pure parts of the platform path: routes, events, heads, words. */
 #include "be.h"
-#include "board.h"
+#include "cache.h"
 #include "budget.h"
 #include "check.h"
 #include "clock.h"
@@ -257,7 +257,7 @@
 {
 	int n = 0;
 
-	board_each_newer((struct board_revs){0}, count, &n);
+	cache_each_newer((struct cache_revs){0}, count, &n);
 	return n;
 }
 
@@ -270,19 +270,19 @@
 	struct st_item i = {
 		.key = key, .value = value, .len = sizeof value - 1, .revision = revision};
 
-	CU_ASSERT_EQUAL(board_apply(&i, "platform"), 1);
+	CU_ASSERT_EQUAL(cache_apply(&i, "platform"), 1);
 }
 
 /* Who is handed half of a listing takes it for all there is, and never asks for the rest. */
 static void a_listing_that_is_not_whole_is_not_handed_on(void)
 {
-	board_init();
+	cache_init();
 	apply_server("servers/i-1", 7);
 	CU_ASSERT_PTR_NOT_NULL(be_find("i-1")); /* it may be used here */
-	CU_ASSERT_EQUAL(board_revs().backends, 0);
+	CU_ASSERT_EQUAL(cache_revs().backends, 0);
 	CU_ASSERT_EQUAL(handed_on(), 0);
-	board_complete(7);
-	CU_ASSERT_EQUAL(board_revs().backends, 7);
+	cache_set_complete(7);
+	CU_ASSERT_EQUAL(cache_revs().backends, 7);
 	CU_ASSERT_EQUAL(handed_on(), 1);
 }
 
@@ -290,14 +290,14 @@
  * took it so never heard of them. */
 static void a_later_change_is_not_handed_on_before_earlier_ones(void)
 {
-	board_init();
+	cache_init();
 	apply_server("servers/i-1", 7);
-	board_complete(7);
+	cache_set_complete(7);
 	apply_server("servers/i-2", 12);
-	CU_ASSERT_EQUAL(board_revs().backends, 7);
+	CU_ASSERT_EQUAL(cache_revs().backends, 7);
 	CU_ASSERT_EQUAL(handed_on(), 1);
 	apply_server("servers/i-3", 9);
-	board_complete(12);
+	cache_set_complete(12);
 	CU_ASSERT_EQUAL(handed_on(), 3);
 }
 
--- a/test/test_ring.c
+++ b/test/test_ring.c
@@ -1,6 +1,6 @@
 /* Servers of a large fleet as instances look at them: each at some, all of them at all. */
 #include "be.h"
-#include "be_life.h"
+#include "be_incarnation.h"
 #include "be_ring.h"
 #include "check.h"
 #include <stdio.h>
@@ -142,7 +142,7 @@
 	list_servers();
 	be_walk("llm", "z0", instance(3), see, &before);
 	b = be_find("i-00007");
-	be_end_life(b, "a test");
+	be_end_incarnation(b, "a test");
 	be_walk("llm", "z0", instance(3), see, &after);
 	CU_ASSERT_EQUAL(after.n, before.n - 1);
 	be_walk("nothing", "z0", instance(3), see, &after);
@@ -157,11 +157,11 @@
 
 	for (i = 0; i < 3000; i++) {
 		snprintf(id, sizeof id, "l-%d", i);
-		be_life_over(id, 100);
+		be_incarnation_end(id, 100);
 	}
-	CU_ASSERT(be_life_is_over("l-2999", 100));
-	CU_ASSERT(be_life_is_over("l-2500", 100));
-	CU_ASSERT(!be_life_is_over("l-2999", 101));
+	CU_ASSERT(be_incarnation_ended("l-2999", 100));
+	CU_ASSERT(be_incarnation_ended("l-2500", 100));
+	CU_ASSERT(!be_incarnation_ended("l-2999", 101));
 }
 
 static const struct check list[] = {
