--- a/src/fleet/be.c
+++ b/src/fleet/be.c
@@ -9,8 +9,7 @@
 #include <string.h>
 
 /* How long a suspect engine gets no new work. One that really leaves is gone by then. With
- * less, it would get new work before it stops, as nobody probes it once its streams are moved.
- */
+ * less, it would get new work before it stops: nobody probes it once its streams have moved. */
 #define SUSPECT_US 3000000
 /* A server listed later than this after the first entry is new or has returned, and may be
  * cold; those listed earlier were in use before this instance started. */
@@ -130,7 +129,7 @@
 	return b;
 }
 
-static void set_state(struct be *b, enum be_state s, const char *said_by)
+static void set_state(struct be *b, enum be_state s, const char *source)
 {
 	static const char *const names[] = {"ready", "leaving", "gone"};
 	GString *g;
@@ -144,17 +143,17 @@
 	jlog_str(g, "backend", b->id);
 	jlog_str(g, "service", b->service);
 	jlog_str(g, "state", names[s]);
-	jlog_str(g, "said_by", said_by);
+	jlog_str(g, "said_by", source);
 	jlog_end(g);
 	if (starts_leaving && be_on_leaving) be_on_leaving(b);
 }
 
-int be_is_incarnation(const struct be *b, int64_t born_ms)
+int be_is_incarnation(const struct be *b, int64_t incarnation_ms)
 {
-	return !born_ms || !b->incarnation_ms || born_ms == b->incarnation_ms;
+	return !incarnation_ms || !b->incarnation_ms || incarnation_ms == b->incarnation_ms;
 }
 
-void be_end_incarnation(struct be *b, const char *said_by)
+void be_end_incarnation(struct be *b, const char *source)
 {
 	GString *g;
 
@@ -164,7 +163,7 @@
 	g = jlog_begin("fleet", "backend_life_over");
 	jlog_str(g, "backend", b->id);
 	jlog_int(g, "born_ms", b->incarnation_ms);
-	jlog_str(g, "said_by", said_by);
+	jlog_str(g, "said_by", source);
 	jlog_end(g);
 	if (be_on_incarnation_end) be_on_incarnation_end(b);
 	b->state = BE_GONE;
@@ -217,20 +216,20 @@
 	return 0;
 }
 
-void be_set_leaving(struct be *b, const char *said_by)
+void be_set_leaving(struct be *b, const char *source)
 {
 	b->leaving_reported = 1;
-	if (b->state == BE_READY) set_state(b, BE_LEAVING, said_by);
+	if (b->state == BE_READY) set_state(b, BE_LEAVING, source);
 }
 
-void be_apply_leaving(const char *id, int64_t born_ms, const char *said_by)
+void be_apply_leaving(const char *id, int64_t incarnation_ms, const char *source)
 {
 	struct be *b = be_find(id);
 
-	if (b && be_is_incarnation(b, born_ms))
-		be_set_leaving(b, said_by);
-	else if (!b || born_ms > b->incarnation_ms)
-		be_incarnation_set_leaving(id, born_ms);
+	if (b && be_is_incarnation(b, incarnation_ms))
+		be_set_leaving(b, source);
+	else if (!b || incarnation_ms > b->incarnation_ms)
+		be_incarnation_set_leaving(id, incarnation_ms);
 }
 
 void be_set_unreadable(const char *id)
@@ -270,14 +269,14 @@
 	}
 }
 
-void be_apply_suspect(const char *id, int64_t born_ms, const char *said_by)
+void be_apply_suspect(const char *id, int64_t incarnation_ms, const char *source)
 {
 	struct be *b = be_find(id);
 
-	if (b && be_is_incarnation(b, born_ms)) be_set_suspect(b, said_by);
+	if (b && be_is_incarnation(b, incarnation_ms)) be_set_suspect(b, source);
 }
 
-void be_set_suspect(struct be *b, const char *said_by)
+void be_set_suspect(struct be *b, const char *source)
 {
 	int64_t now = clock_us();
 	GString *g;
@@ -292,7 +291,7 @@
 	g = jlog_begin("fleet", "backend_suspect");
 	jlog_str(g, "backend", b->id);
 	jlog_str(g, "service", b->service);
-	jlog_str(g, "said_by", said_by);
+	jlog_str(g, "said_by", source);
 	jlog_end(g);
 	if (be_on_leaving) be_on_leaving(b);
 }
--- a/src/fleet/be_health.c
+++ b/src/fleet/be_health.c
@@ -8,8 +8,8 @@
 #define FAILURE_RATE_RETRY 0.4 /* after an ejection: one more failure ejects it again */
 #define LATENCY_WEIGHT 0.2     /* of the newest answer: about five determine the average */
 #define LATENCY_SAMPLES_MIN 5  /* fewer may all be slow by chance */
-#define BAD_STREAK \
-	2 /* bad outcomes in a row, of different instances, that eject: one may be chance */
+/* Bad outcomes in a row, of different instances, that eject: one may be chance. */
+#define BAD_STREAK 2
 #define SELF 0 /* this instance's number among those whose outcomes are counted */
 #define EJECT_FIRST_US 1000000 /* doubled with each further ejection, up to EJECT_MAX_US */
 #define EJECT_MAX_US 8000000   /* after it, requests show whether the server has recovered */
--- a/src/fleet/be_incarnation.c
+++ b/src/fleet/be_incarnation.c
@@ -13,7 +13,7 @@
 	int64_t at_us;
 };
 
-static GHashTable *records; /* id -> struct note */
+static GHashTable *records; /* id -> struct record */
 
 static int is_old(gpointer id, gpointer record, gpointer now)
 {
@@ -40,19 +40,19 @@
 static struct record *record_for(const char *id)
 {
 	int64_t now = clock_us();
-	struct record *n;
+	struct record *r;
 
 	if (!records) records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	n = g_hash_table_lookup(records, id);
-	if (!n && g_hash_table_size(records) >= RECORDS_MAX)
+	r = g_hash_table_lookup(records, id);
+	if (!r && g_hash_table_size(records) >= RECORDS_MAX)
 		g_hash_table_foreach_remove(records, is_old, &now);
-	if (!n && g_hash_table_size(records) >= RECORDS_MAX) drop_oldest();
-	if (!n) {
-		n = g_new0(struct record, 1);
-		g_hash_table_insert(records, g_strdup(id), n);
+	if (!r && g_hash_table_size(records) >= RECORDS_MAX) drop_oldest();
+	if (!r) {
+		r = g_new0(struct record, 1);
+		g_hash_table_insert(records, g_strdup(id), r);
 	}
-	n->at_us = now;
-	return n;
+	r->at_us = now;
+	return r;
 }
 
 static const struct record *find(const char *id)
@@ -60,34 +60,34 @@
 	return records ? g_hash_table_lookup(records, id) : NULL;
 }
 
-void be_incarnation_end(const char *id, int64_t born_ms)
+void be_incarnation_end(const char *id, int64_t incarnation_ms)
 {
-	struct record *n;
+	struct record *r;
 
-	if (!born_ms) return;
-	n = record_for(id);
-	n->ended_ms = MAX(n->ended_ms, born_ms);
+	if (!incarnation_ms) return;
+	r = record_for(id);
+	r->ended_ms = MAX(r->ended_ms, incarnation_ms);
 }
 
-int be_incarnation_ended(const char *id, int64_t born_ms)
+int be_incarnation_ended(const char *id, int64_t incarnation_ms)
 {
-	const struct record *n = born_ms ? find(id) : NULL;
+	const struct record *r = incarnation_ms ? find(id) : NULL;
 
-	return n && born_ms <= n->ended_ms;
+	return r && incarnation_ms <= r->ended_ms;
 }
 
-void be_incarnation_set_leaving(const char *id, int64_t born_ms)
+void be_incarnation_set_leaving(const char *id, int64_t incarnation_ms)
 {
-	struct record *n;
+	struct record *r;
 
-	if (!born_ms) return;
-	n = record_for(id);
-	n->leaving_ms = MAX(n->leaving_ms, born_ms);
+	if (!incarnation_ms) return;
+	r = record_for(id);
+	r->leaving_ms = MAX(r->leaving_ms, incarnation_ms);
 }
 
-int be_incarnation_is_leaving(const char *id, int64_t born_ms)
+int be_incarnation_is_leaving(const char *id, int64_t incarnation_ms)
 {
-	const struct record *n = born_ms ? find(id) : NULL;
+	const struct record *r = incarnation_ms ? find(id) : NULL;
 
-	return n && born_ms == n->leaving_ms;
+	return r && incarnation_ms == r->leaving_ms;
 }
--- a/src/fleet/cache.c
+++ b/src/fleet/cache.c
@@ -10,8 +10,8 @@
 
 /* Lapsed entries are listed again within about two seconds of the store's return. */
 #define RELIST_US 2000000
-#define DIGEST_MULTIPLIER \
-	2654435761u /* odd, with bits all over, as revisions are close together */
+/* Odd, with bits all over, as revisions are close together. */
+#define DIGEST_MULTIPLIER 2654435761u
 
 struct cached_item {
 	char *key;
--- a/src/fleet/leave.c
+++ b/src/fleet/leave.c
@@ -25,31 +25,32 @@
 	g_string_free(out, TRUE);
 }
 
-static int read_report(const msgpack_object_array *a, char *id, size_t max, int64_t *born_ms)
+static int read_report(const msgpack_object_array *a, char *id, size_t max,
+		       int64_t *incarnation_ms)
 {
 	if (a->size < 2 || mesh_text(&a->ptr[1], id, max)) return -EBADMSG;
-	*born_ms = a->size > 2 ? mesh_int(&a->ptr[2]) : 0;
+	*incarnation_ms = a->size > 2 ? mesh_int(&a->ptr[2]) : 0;
 	return 0;
 }
 
 static int apply_leaving(const char *from, const msgpack_object_array *a)
 {
 	char id[ENTRY_TEXT_MAX + 1];
-	int64_t born_ms;
+	int64_t incarnation_ms;
 
-	if (read_report(a, id, sizeof id, &born_ms)) return -EBADMSG;
+	if (read_report(a, id, sizeof id, &incarnation_ms)) return -EBADMSG;
 	any_leaving = 1;
-	be_apply_leaving(id, born_ms, from);
+	be_apply_leaving(id, incarnation_ms, from);
 	return 0;
 }
 
 static int apply_suspect(const char *from, const msgpack_object_array *a)
 {
 	char id[ENTRY_TEXT_MAX + 1];
-	int64_t born_ms;
+	int64_t incarnation_ms;
 
-	if (read_report(a, id, sizeof id, &born_ms)) return -EBADMSG;
-	be_apply_suspect(id, born_ms, from);
+	if (read_report(a, id, sizeof id, &incarnation_ms)) return -EBADMSG;
+	be_apply_suspect(id, incarnation_ms, from);
 	return 0;
 }
 
@@ -65,17 +66,17 @@
 	}
 }
 
-void leave_report(struct be *b, const char *said_by)
+void leave_report(struct be *b, const char *source)
 {
 	any_leaving = 1;
 	if (b->leaving_reported) return;
-	be_set_leaving(b, said_by);
+	be_set_leaving(b, source);
 	send_report(b, MESH_LEAVING);
 }
 
-void leave_report_suspect(struct be *b, const char *said_by)
+void leave_report_suspect(struct be *b, const char *source)
 {
-	be_set_suspect(b, said_by);
+	be_set_suspect(b, source);
 	send_report(b, MESH_SUSPECT);
 }
 
--- a/src/fleet/limit.c
+++ b/src/fleet/limit.c
@@ -20,11 +20,11 @@
 #define NO_LIMIT (-1) /* in place of the requests: any number */
 
 static struct ev_timer send_timer;
-static GPtrArray
-	*pending; /* servers whose own answers named a limit or none since the last message */
+/* Servers whose own answers named a limit, or none, since the last message. */
+static GPtrArray *pending;
 static int any_limited; /* some server has named a limit, here or elsewhere */
 
-static void log_limit(const struct be *b, const char *said_by)
+static void log_limit(const struct be *b, const char *source)
 {
 	GString *g = jlog_begin("fleet", "backend_limit");
 	char text[G_ASCII_DTOSTR_BUF_SIZE];
@@ -35,18 +35,18 @@
 		 b->limit.per_s < 0
 			 ? "any"
 			 : g_ascii_formatd(text, sizeof text, "%.3f", b->limit.per_s));
-	jlog_str(g, "said_by", said_by);
+	jlog_str(g, "said_by", source);
 	jlog_end(g);
 }
 
 /* Returns 1 if the limit in force changed. */
-static int apply(struct be *b, const struct limit_word *w, const char *said_by)
+static int apply(struct be *b, const struct limit_word *w, const char *source)
 {
 	int was_limited = be_is_limited(b);
 
 	if (w->per_s >= 0) any_limited = 1;
 	if (!limit_take(&b->limit, w)) return 0;
-	log_limit(b, said_by);
+	log_limit(b, source);
 	if (was_limited == be_is_limited(b)) return 1;
 	b->limit_changed_us = clock_us(); /* also when it ends */
 	b->pace[QUOTA_LIMIT] = (struct quota_pace){0};
--- a/src/fleet/pace.c
+++ b/src/fleet/pace.c
@@ -71,13 +71,14 @@
 	return kind == QUOTA_LIMIT ? MAX(b->limit_changed_us, started_us) : started_us;
 }
 
-static struct quota_pace *update_pace(struct be *b, const struct quota_bound *of, int64_t now)
+static struct quota_pace *update_pace(struct be *b, const struct quota_bound *bound,
+				      int64_t now)
 {
-	struct quota_pace *p = &b->pace[of->kind];
+	struct quota_pace *p = &b->pace[bound->kind];
 	struct mesh_rank r = mesh_rank(b);
 
-	quota_set_share(p, quota_share(quota_sum(of), r.sharers, r.rank),
-			unpaced_until_us(b, of->kind), now);
+	quota_set_share(p, quota_share(quota_sum(bound), r.sharers, r.rank),
+			unpaced_until_us(b, bound->kind), now);
 	return p;
 }
 
@@ -89,12 +90,12 @@
 	return MAX(b->limit.to_us + after - now, 0);
 }
 
-static int64_t wait_us(struct be *b, const struct conf_service *s, const struct quota_bound *of,
-		       int64_t now)
+static int64_t wait_us(struct be *b, const struct conf_service *s,
+		       const struct quota_bound *bound, int64_t now)
 {
-	int64_t wait = quota_wait_us(update_pace(b, of, now), of, now);
+	int64_t wait = quota_wait_us(update_pace(b, bound, now), bound, now);
 
-	switch (of->kind) {
+	switch (bound->kind) {
 	case QUOTA_COLD: return MIN(wait, pace_cold_until_us(b, s, now) - now);
 	case QUOTA_LIMIT: return wait == QUOTA_NEVER ? shareless_wait_us(b, now) : wait;
 	case QUOTA_KINDS: break;
@@ -120,13 +121,13 @@
 	static const enum pace_why reasons[QUOTA_KINDS] = {
 		[QUOTA_COLD] = PACE_COLD, [QUOTA_LIMIT] = PACE_LIMIT};
 	int64_t most = backoff_wait_us(b, now), wait;
-	struct quota_bound of;
+	struct quota_bound bound;
 	int kind;
 
 	*why = most ? PACE_BACKOFF : PACE_FREE;
 	for (kind = 0; kind < QUOTA_KINDS; kind++) {
-		if (!get_bound(b, s, kind, now, &of)) continue;
-		wait = wait_us(b, s, &of, now);
+		if (!get_bound(b, s, kind, now, &bound)) continue;
+		wait = wait_us(b, s, &bound, now);
 		if (wait <= most) continue;
 		most = wait;
 		*why = reasons[kind];
@@ -165,13 +166,13 @@
 int64_t pace_gap_us(struct be *b, const struct conf_service *s, int64_t now)
 {
 	int64_t most = resume_gap_us(b);
-	struct quota_bound of;
+	struct quota_bound bound;
 	int kind;
 
 	for (kind = 0; kind < QUOTA_KINDS; kind++) {
-		if (!get_bound(b, s, kind, now, &of)) continue;
-		most = MAX(most,
-			   quota_window_us(&of) / MAX(update_pace(b, &of, now)->share, 1));
+		if (!get_bound(b, s, kind, now, &bound)) continue;
+		most = MAX(most, quota_window_us(&bound) /
+					 MAX(update_pace(b, &bound, now)->share, 1));
 	}
 	return most;
 }
@@ -201,12 +202,12 @@
 void pace_sent(struct be *b, const struct conf_service *s)
 {
 	int64_t now = clock_us();
-	struct quota_bound of;
+	struct quota_bound bound;
 	int kind;
 
 	for (kind = 0; kind < QUOTA_KINDS; kind++)
-		if (get_bound(b, s, kind, now, &of))
-			quota_spend(update_pace(b, &of, now), &of, now);
+		if (get_bound(b, s, kind, now, &bound))
+			quota_spend(update_pace(b, &bound, now), &bound, now);
 }
 
 /* ---- back-off ---- */
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -6,8 +6,8 @@
  */
 #include "probe.h"
 #include "be.h"
-#include "cache.h"
 #include "bx.h"
+#include "cache.h"
 #include "clock.h"
 #include "dialect.h"
 #include "ev.h"
@@ -20,12 +20,10 @@
 #include <errno.h>
 
 /* The age at which lists count as stale while the store fails some instance. With
- * CACHE_STALE_US, more than twice as many streams of engines that are shut down meanwhile
- * break.
- */
+ * CACHE_STALE_US, more than twice as many streams of engines shut down meanwhile break. */
 #define DEGRADED_STALE_US 1000000
-#define TICK_US \
-	100000 /* engines give about 1.5 s of notice, of which a move takes 0.2 to 0.4 s */
+/* Engines give about 1.5 s of notice, of which a move takes 0.2 to 0.4 s. */
+#define TICK_US 100000
 #define REPORT_TICKS 5    /* reports lag by about as much anyway */
 #define CONNECT_US 250000 /* a running engine answers in a few ms */
 #define ANSWER_US 500000  /* for the answer: a report needs no request slot */
--- a/src/fleet/watch.c
+++ b/src/fleet/watch.c
@@ -17,14 +17,12 @@
 /* How long the rest of a list of several pages is awaited from another instance, which serves
  * it in one piece where the store takes a call for each page. */
 #define PEERS_WAIT_US 4000000
-#define IDLE_CHECK_US \
-	100000           /* how often an instance that does not watch checks whether it must */
-#define SETTLE_US 600000 /* after the start: other instances have been received by then */
-#define PAUSE_MIN_US 30000 /* after a change: further changes with it come in one reply, ... \
-			    */
-#define PAUSE_MAX_US                                                                          \
-	130000 /* ... and, as the pause is random, one of the watching instances soon watches \
-		  again */
+#define IDLE_CHECK_US 100000 /* how often an idle watcher checks whether it must call */
+#define SETTLE_US 600000     /* after the start: other instances have been received by then */
+/* Pause after a change, so that changes made with it come in one reply. It is random, so that
+ * one of the watching instances soon watches again. */
+#define PAUSE_MIN_US 30000
+#define PAUSE_MAX_US 130000
 
 enum phase { LISTING, WATCHING };
 
@@ -35,18 +33,14 @@
 	uint64_t at;
 	/* Changes after this one are cached; keys removed before it are not. */
 	uint64_t from;
-	/* Changes made after the listing, while nobody watched for this instance, were
-	 * requested.
-	 */
+	/* Changes made since the listing, when nobody watched for this one, were requested. */
 	int caught_up;
-	int polling;         /* call returns at once */
-	int64_t awaiting_us; /* since when the rest of the list is awaited from peers; 0: it is
-				not */
+	int polling;               /* call returns at once */
+	int64_t awaiting_since_us; /* since when the list is awaited from peers; 0: it is not */
 	struct st_call *call, *poll;
 	struct ev_timer retry;
 	int64_t retry_us;         /* delay of the last retry; 0: the last call succeeded */
-	int64_t backoff_until_us; /* after a failure: no earlier call unless mesh_asks_store()
-				   */
+	int64_t backoff_until_us; /* after a failed call, see may_ask */
 	GHashTable *listed;       /* keys on the pages so far */
 	struct cache_revs base;   /* revisions cached before the listing */
 	int requested; /* a listing was requested: what is cached may be a part of it */
@@ -136,7 +130,7 @@
 
 static int may_await_peers(const struct watcher *w)
 {
-	if (w->awaiting_us || w->list.of != DL_BACKEND || w->base.backends) return 0;
+	if (w->awaiting_since_us || w->list.of != DL_BACKEND || w->base.backends) return 0;
 	return mesh_known() > 1 && peers_have_or_list();
 }
 
@@ -161,7 +155,7 @@
 	apply_all(r, r->sent_us);
 	for (i = 0; i < r->n; i++) g_hash_table_add(w->listed, g_strdup(r->items[i].key));
 	if (r->more && r->n && may_await_peers(w)) {
-		w->awaiting_us = clock_us();
+		w->awaiting_since_us = clock_us();
 		g_hash_table_remove_all(w->listed);
 		ev_in(&w->retry, IDLE_CHECK_US);
 		return;
@@ -177,8 +171,7 @@
 	w->phase = WATCHING;
 	w->from = w->at;
 	w->caught_up = 0;
-	mesh_beat_now(); /* the updates below do not continue from the revisions that peers have
-			  */
+	mesh_beat_now(); /* the updates below do not continue from the peers' revisions */
 	mesh_pass_on(w->base);
 	next_call(w);
 }
@@ -216,8 +209,9 @@
 		next_call(w);
 }
 
-/* Whether changes may be missing: updates came that do not continue from w->at, and another
- * instance's listing does not show keys removed before it. */
+/* Whether changes may be missing: those since the listing were not requested, or updates came
+ * that do not continue from w->at. Another instance's listing does not show keys removed before
+ * it. */
 static int has_gap(const struct watcher *w)
 {
 	return !w->caught_up || cached_revision(w) > w->at;
@@ -232,12 +226,13 @@
 /* Whether peers have served the complete list that this instance would request. */
 static int has_list_from_peers(const struct watcher *w)
 {
-	return (!w->requested || w->awaiting_us) && cached_revision(w);
+	return (!w->requested || w->awaiting_since_us) && cached_revision(w);
 }
 
 static int awaits_peers(const struct watcher *w)
 {
-	if (!w->awaiting_us || clock_us() - w->awaiting_us >= PEERS_WAIT_US) return 0;
+	if (!w->awaiting_since_us || clock_us() - w->awaiting_since_us >= PEERS_WAIT_US)
+		return 0;
 	return peers_have_or_list();
 }
 
--- a/src/fleet/watch_confirm.c
+++ b/src/fleet/watch_confirm.c
@@ -15,19 +15,16 @@
 #define TICK_US 100000           /* how often its age is checked */
 /* Added where other hubs receive no caller traffic and should ask for all. */
 #define ACTIVE_DELAY_US 500000
-#define STANDBY_DELAY_US \
-	1500000 /* added for standby instances, which few receive from: the last to ask */
-#define RETRY_US 800000 /* after a failed call: the store's return is noticed within a second \
-			 */
-#define HOLD_MAX_US 1500000 /* a megabyte, in base64, takes 1.2 s on a link of 10 Mbit/s */
-#define LATE_US 300000      /* without an answer; usually one takes some ms */
+#define STANDBY_DELAY_US 1500000 /* added for standbys, which few receive from: ask last */
+#define RETRY_US 800000          /* after a failure: the store's return is noticed within 1 s */
+#define HOLD_MAX_US 1500000      /* a megabyte, in base64, takes 1.2 s on a link of 10 Mbit/s */
+#define LATE_US 300000           /* without an answer; usually one takes some ms */
 
 static struct st_call *confirming;
 static struct ev_timer timer;
 static int64_t age_us, not_before_us, sent_us;
-static int64_t backoff_until_us; /* no earlier call unless mesh_asks_store(); 0: not set */
-static int64_t
-	receiving_since_us; /* since when a configuration is being received; 0: none is */
+static int64_t backoff_until_us;   /* see roles_may_ask; 0: not set */
+static int64_t receiving_since_us; /* a configuration is being received; 0: none is */
 static uint64_t confirming_revision;
 
 /* Differs between instances, so that one asks for all. */
@@ -118,8 +115,7 @@
 	return roles_may_ask(&o, now);
 }
 
-/* An answer that is being received is not late: a configuration takes a second on a slow link.
- */
+/* An answer being received is not late: a configuration takes a second on a slow link. */
 static int is_late(int64_t now)
 {
 	return now - sent_us > LATE_US && !st_received(confirming);
@@ -157,8 +153,8 @@
 void watch_confirm_start(void)
 {
 	age_us = random_age();
-	mesh_hold_fetch(clock_us() +
-			LATE_US); /* every instance lists from the store at its start */
+	/* Every instance lists from the store at its start. */
+	mesh_hold_fetch(clock_us() + LATE_US);
 	timer.fire = on_tick;
 	ev_in(&timer, TICK_US);
 }
--- a/src/internal/be.h
+++ b/src/internal/be.h
@@ -63,10 +63,8 @@
 	int64_t available_us;
 	struct be_backoff backoff;
 	struct quota_pace pace[QUOTA_KINDS]; /* of this instance's requests to it */
-	int64_t lapsed_us; /* since when its entry is missing after a store outage; 0: it is not
-			    */
-	/* It is suspected to be leaving while no entry can confirm it: since when and until
-	 * when. */
+	int64_t lapsed_us; /* since when its entry has lapsed (be_set_lapsed); 0: it has not */
+	/* Suspected to be leaving, which no entry can confirm at present: */
 	int64_t suspect_us, suspect_until_us;
 	struct be_load own, others;
 	/* From this instance's own exchanges: */
@@ -86,7 +84,7 @@
 	/* When this instance last learned of a limit or of its end; 0: never. */
 	int64_t limit_changed_us;
 	int64_t unusable_logged_us; /* when an unusable notice of it was last logged */
-	int limit_pending; /* its own answer confirmed the limit; peers were not sent it */
+	int limit_pending; /* its own answers named a limit or none, not sent to peers yet */
 	int probing;       /* a health check or report is in flight */
 	int load_dirty;    /* own load changed since it was last sent to peers */
 };
@@ -106,13 +104,13 @@
 /* Whether a message about that incarnation concerns b; an unknown incarnation matches any. */
 int be_is_incarnation(const struct be *b, int64_t incarnation_ms);
 /* Marks b as leaving, by its entry or its own answer. Never undone for this incarnation. */
-void be_set_leaving(struct be *b, const char *said_by);
+void be_set_leaving(struct be *b, const char *source);
 /* Applies the same from another instance, which may have a newer or older incarnation: a report
  * about a newer one is kept until its entry arrives. */
-void be_apply_leaving(const char *id, int64_t incarnation_ms, const char *said_by);
+void be_apply_leaving(const char *id, int64_t incarnation_ms, const char *source);
 /* Ends b because a newer incarnation answers at its address or is listed: every exchange with
  * it is over. */
-void be_end_incarnation(struct be *b, const char *said_by);
+void be_end_incarnation(struct be *b, const char *source);
 /* Its entry can't be parsed: it gets no new work until it can; runs there continue. */
 void be_set_unreadable(const char *id);
 void be_set_gone(const char *id);
@@ -141,14 +139,13 @@
 GPtrArray *be_dcs(void);
 /* Suspects b of leaving: its runs are moved, and it gets no new work for some seconds after the
  * last report. */
-void be_set_suspect(struct be *b, const char *said_by);
-void be_apply_suspect(const char *id, int64_t incarnation_ms, const char *said_by);
+void be_set_suspect(struct be *b, const char *source);
+void be_apply_suspect(const char *id, int64_t incarnation_ms, const char *source);
 /* Blocks or unblocks a version: servers of a blocked version get no new work, and runs there
  * are moved elsewhere. */
 void be_block_version(const char *service, const char *version, int on);
 int be_version_is_blocked(const char *service, const char *version);
-/* Whether it is leaving, gone or suspect, or its data centre is drained or its version blocked.
- */
+/* Whether it is leaving, gone or suspect, its data centre is drained or its version blocked. */
 int be_is_leaving(const struct be *b);
 /* Microseconds since that became known. */
 int64_t be_leaving_for_us(const struct be *b);
@@ -161,8 +158,8 @@
 
 /* To be called when b->own changed. */
 void be_update_use(struct be *b);
-/* Servers with runs, replicas or inbound memory of this instance. Free with g_ptr_array_unref.
- */
+/* Servers with runs, replicas or inbound memory of this instance. Free with
+ * g_ptr_array_unref. */
 GPtrArray *be_in_use(void);
 
 /* It announced a cold start that lasts for_us. */
@@ -208,7 +205,6 @@
 extern void (*be_on_new)(struct be *b);
 /* How long a server whose entry went may still get work as a last resort; microseconds. */
 extern int64_t be_last_resort_us;
-/* How long after a drain its servers may still get work that can go nowhere else; microseconds.
- */
+/* How long after a drain streams that can go nowhere else may continue there; microseconds. */
 extern int64_t be_drain_grace_us;
 #endif
--- a/src/internal/leave.h
+++ b/src/internal/leave.h
@@ -6,8 +6,8 @@
 
 /* To be called once, before the mesh's start. */
 void leave_start(void);
-/* An answer of b itself announces that it leaves; said_by: which answer. */
-void leave_report(struct be *b, const char *said_by);
+/* An answer of b itself announces that it leaves; source: which answer. */
+void leave_report(struct be *b, const char *source);
 /* Its health check fails. */
-void leave_report_suspect(struct be *b, const char *said_by);
+void leave_report_suspect(struct be *b, const char *source);
 #endif
--- a/src/internal/pace.h
+++ b/src/internal/pace.h
@@ -13,9 +13,7 @@
 /* Until when b is cold: as it announced, or as assumed of a server that became available and
  * has not announced it yet; 0: it is not. */
 int64_t pace_cold_until_us(const struct be *b, const struct conf_service *s, int64_t now);
-/* Microseconds until this instance may send it a request; 0: now; QUOTA_NEVER: no time is
- * known.
- */
+/* Microseconds until this instance may send it a request; 0: now; QUOTA_NEVER: unknown. */
 int64_t pace_wait_us(struct be *b, const struct conf_service *s, int64_t now);
 /* Microseconds from one request that may be sent to the next. */
 int64_t pace_gap_us(struct be *b, const struct conf_service *s, int64_t now);
@@ -32,8 +30,7 @@
 
 /* It asked this instance for back-off. */
 void pace_backoff(struct be *b, int64_t for_us);
-/* Counts an exchange that begins now if it is one of those after a back-off; returns whether.
- */
+/* Counts an exchange that begins now if it is one after a back-off; returns whether it is. */
 int pace_begin_after_backoff(struct be *b);
 /* Such an exchange was answered without another request for back-off. */
 void pace_succeeded_after_backoff(struct be *b);
--- a/test/test_cold.c
+++ b/test/test_cold.c
@@ -1,62 +1,62 @@
-/* Servers that are cold: what all instances together send to one, in any second. */
+/* Cold servers: how many requests all instances together send to one in any second. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
 #include <saddlehead/quota.h>
 #include <string.h>
 
-/* ---- the shares, played ---- */
+/* ---- simulation of the shares ---- */
 
 #define TIMES_MAX 65536
-#define PLAY_US 3000000
-#define DELAY_US 20000 /* most that a request is under way longer than another one */
+#define RUN_US 3000000
+#define DELAY_US 20000 /* largest difference between the delays of two requests */
 
 static int64_t times[TIMES_MAX];
 static int ntimes;
-static uint32_t draw;
+static uint32_t random_state;
 
-static uint32_t drawn(uint32_t n)
+static uint32_t random_below(uint32_t n)
 {
-	draw = draw * 1664525u + 1013904223u;
-	return (uint32_t)((uint64_t)draw * n >> 32);
+	random_state = random_state * 1664525u + 1013904223u;
+	return (uint32_t)((uint64_t)random_state * n >> 32);
 }
 
-/* An instance that always has more to send. */
-static void play_instance(const struct quota_bound *b, uint32_t share)
+/* An instance with requests waiting at any time. */
+static void run_instance(const struct quota_bound *b, uint32_t share)
 {
 	struct quota_pace p = {0};
-	int64_t at = drawn(100000);
+	int64_t at = random_below(100000);
 
-	quota_set_share(&p, share, -PLAY_US, at);
+	quota_set_share(&p, share, -RUN_US, at);
 	if (!share) return;
-	for (; at < PLAY_US; at += quota_wait_us(&p, b, at)) {
+	for (; at < RUN_US; at += quota_wait_us(&p, b, at)) {
 		quota_spend(&p, b, at);
-		if (ntimes < TIMES_MAX) times[ntimes++] = at + drawn(DELAY_US);
+		if (ntimes < TIMES_MAX) times[ntimes++] = at + random_below(DELAY_US);
 	}
 }
 
-/* So many that hear each other; from that rank on. */
-static void play_view(const struct quota_bound *b, uint32_t sharers)
+/* Instances that receive each other's heartbeats, each with its rank. */
+static void run_instances(const struct quota_bound *b, uint32_t sharers)
 {
 	uint32_t i;
 
-	for (i = 0; i < sharers; i++) play_instance(b, quota_share(quota_sum(b), sharers, i));
+	for (i = 0; i < sharers; i++) run_instance(b, quota_share(quota_sum(b), sharers, i));
 }
 
-/* Most that arrived in one second. */
-static int most_in_a_second(void)
+/* The most arrivals in one second. */
+static int max_in_a_second(void)
 {
-	int i, k, most = 0;
+	int i, k, max = 0;
 
 	for (i = 0; i < ntimes; i++) {
 		int n = 0;
 
 		for (k = 0; k < ntimes; k++)
 			n += times[k] >= times[i] && times[k] < times[i] + 1000000;
-		most = n > most ? n : most;
+		max = n > max ? n : max;
 	}
 	ntimes = 0;
-	return most;
+	return max;
 }
 
 static const struct quota_bound bounds[] = {{QUOTA_COLD, {.cold = {20, 1.5, 5}}},
@@ -64,13 +64,13 @@
 					    {QUOTA_COLD, {.cold = {3, 1.5, 5}}},
 					    {QUOTA_COLD, {.cold = {20, 1, 0}}}};
 
-static int falls_over_above(const struct quota_bound *b)
+static int overload_limit(const struct quota_bound *b)
 {
 	return (int)(b->of.cold.per_s * b->of.cold.over + b->of.cold.slack);
 }
 
-/* Each instance sends as much as it may, to one server: a data centre that is taken back beside
- * a crowd. */
+/* Each instance sends one server as much as it may, as after a data centre is restored under
+ * load. */
 static void no_second_has_more_than_a_cold_server_bears(void)
 {
 	static const uint32_t fleets[] = {1, 6, 16, 64, 295};
@@ -78,14 +78,14 @@
 
 	for (b = 0; b < sizeof bounds / sizeof *bounds; b++) {
 		for (f = 0; f < sizeof fleets / sizeof *fleets; f++) {
-			play_view(&bounds[b], fleets[f]);
-			CU_ASSERT(most_in_a_second() <= (int)bounds[b].of.cold.per_s);
+			run_instances(&bounds[b], fleets[f]);
+			CU_ASSERT(max_in_a_second() <= (int)bounds[b].of.cold.per_s);
 		}
 	}
 }
 
-/* A cut makes two fleets of one, each of which takes itself for all there is; or an instance is
- * alone. */
+/* A network cut splits the fleet into two parts, or isolates an instance, and each part shares
+ * the rate among its own instances only. */
 static void parts_that_hear_nothing_of_each_other_stay_below(void)
 {
 	static const uint32_t parts[][2] = {{1, 5}, {3, 3}, {8, 16}, {16, 16}, {1, 294}};
@@ -93,14 +93,14 @@
 
 	for (b = 0; b < sizeof bounds / sizeof *bounds; b++) {
 		for (p = 0; p < sizeof parts / sizeof *parts; p++) {
-			play_view(&bounds[b], parts[p][0]);
-			play_view(&bounds[b], parts[p][1]);
-			CU_ASSERT(most_in_a_second() <= falls_over_above(&bounds[b]));
+			run_instances(&bounds[b], parts[p][0]);
+			run_instances(&bounds[b], parts[p][1]);
+			CU_ASSERT(max_in_a_second() <= overload_limit(&bounds[b]));
 		}
 	}
 }
 
-/* Nothing of what it bears is left over, whoever shares it. */
+/* The shares add up to the whole rate, for any number of sharers. */
 static void the_parts_are_the_whole(void)
 {
 	struct quota_pace none = {0};
@@ -115,11 +115,11 @@
 	CU_ASSERT_EQUAL(quota_wait_us(&none, &bounds[0], 0), QUOTA_NEVER);
 }
 
-/* ---- through the real program ---- */
+/* ---- with the real program ---- */
 
 #define PER_S 20
-#define CROWD 240  /* calls, ... */
-#define CROWD_MS 4 /* ... one each: more than the warm server answers */
+#define CALLS 240      /* calls under load */
+#define CALL_EACH_MS 4 /* between two calls: more than the warm server can answer */
 
 static struct pw_server *warm;
 
@@ -134,21 +134,21 @@
 	pw_conf_write();
 	pw_settings("bounds.coldOvershoot=1.5\nbounds.coldSlack=5\n");
 	warm = pw_server_add("app", 0);
-	warm->work_ms = 40; /* whoever is idle looks better */
+	warm->work_ms = 40; /* an idle server is preferred */
 	for (i = 0; i < 3; i++) e[i] = pw_entry_ready();
 	pw_run(1500);
 	return e;
 }
 
-/* Arrivals at s while a crowd calls. */
-static int arrivals_in_a_crowd(struct pw_entry **e, struct pw_server *s)
+/* Arrivals at s under load. */
+static int arrivals_under_load(struct pw_entry **e, struct pw_server *s)
 {
 	int i;
 
 	s->arrivals = 0;
-	for (i = 0; i < CROWD; i++) {
+	for (i = 0; i < CALLS; i++) {
 		pw_ask(e[i % 3], "GET", "/safe/", 4000);
-		pw_run(CROWD_MS);
+		pw_run(CALL_EACH_MS);
 	}
 	i = s->arrivals;
 	pw_run(300);
@@ -164,16 +164,16 @@
 	s->cold_ms = 2500;
 	pw_server_list(s, "ready");
 	pw_run(100);
-	n = arrivals_in_a_crowd(e, s);
+	n = arrivals_under_load(e, s);
 	CU_ASSERT(n > 0);
 	CU_ASSERT(n <= 35);
 	CU_ASSERT(pw_metric(e[0], "saddlehead_cold_passed_over_total") > 0);
 	pw_run(1200);
-	CU_ASSERT(arrivals_in_a_crowd(e, s) > CROWD / 2);
+	CU_ASSERT(arrivals_under_load(e, s) > CALLS / 2);
 	pw_end();
 }
 
-/* Its entry tells that it is cold when that is over. */
+/* Its entry shows that it is cold only after the cold start is over. */
 static void a_server_that_is_taken_back_is_spared_unasked(void)
 {
 	struct pw_entry **e = with_a_warm_server();
@@ -185,22 +185,22 @@
 	pw_run(1200);
 	pw_store_remove("op/evacuate/b");
 	pw_run(50);
-	n = arrivals_in_a_crowd(e, s);
+	n = arrivals_under_load(e, s);
 	CU_ASSERT(n > 0);
-	CU_ASSERT(n <= 35 + CROWD / 5); /* a second of some 1.2 s */
+	CU_ASSERT(n <= 35 + CALLS / 5); /* one second of about 1.2 s is cold */
 	pw_end();
 }
 
-/* No entry tells it: the store is silent. */
+/* The store is silent, so that no entry shows it. */
 static void a_server_that_says_it_is_cold_in_its_answers_is_spared(void)
 {
 	struct pw_entry **e = with_a_warm_server();
 	struct pw_server *s = pw_server_add("app", 0);
 
-	pw_run(2500); /* new, and perhaps cold, until then */
+	pw_run(2500); /* until then it is treated as new and cold */
 	pw_store.mode = PW_STORE_SILENT;
 	s->says = "X-Cold-Start-Ms: 2000\r\n";
-	arrivals_in_a_crowd(e, s);
+	arrivals_under_load(e, s);
 	CU_ASSERT(pw_server_most(s, clock_us() - 900000, 1000) <= 35);
 	pw_end();
 }
--- a/test/test_drain.c
+++ b/test/test_drain.c
@@ -1,4 +1,4 @@
-/* Operators drain data centres: nothing new goes there until they take them back. */
+/* Operators drain data centres: no new work goes there until they are restored. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HEARD_MS 200    /* a watch tells within some ms */
-#define CONFIRM_MS 2500 /* silent watches: a confirmation notices, at most 1.8 s later */
+#define PROPAGATION_MS 200 /* a watch returns a change within some ms */
+#define CONFIRM_MS 2500    /* with silent watches: until a confirmation, at most 1.8 s later */
 
 static void drain(const char *data_centre)
 {
@@ -17,7 +17,7 @@
 	pw_store_put(key, "{}");
 }
 
-static void take_back(const char *data_centre)
+static void restore(const char *data_centre)
 {
 	char key[64];
 
@@ -43,19 +43,19 @@
 	pw_init();
 	near = pw_server_add("app", 0);
 	far = pw_server_add_in("app", 0, "b");
-	near->work_ms = 40; /* the other one is chosen while it may be */
+	near->work_ms = 40; /* the other one is preferred while it may be used */
 	e = pw_entry_ready();
 	CU_ASSERT(arrivals_of_calls(far, &e, 1) > 0);
 	drain("b");
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	CU_ASSERT_EQUAL(arrivals_of_calls(far, &e, 1), 0);
-	take_back("b");
-	pw_run(HEARD_MS);
+	restore("b");
+	pw_run(PROPAGATION_MS);
 	CU_ASSERT(arrivals_of_calls(far, &e, 1) > 0);
 	pw_end();
 }
 
-/* Also where a first try there was its repeat's reason, and where nothing else is left. */
+/* With every data centre drained a request is refused at once and reaches no server. */
 static void all_data_centres_drained_means_refused_at_once(void)
 {
 	struct pw_server *s[2];
@@ -69,7 +69,7 @@
 	e = pw_entry_ready();
 	drain("a");
 	drain("b");
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	for (i = 0; i < 2; i++) s[i]->arrivals = 0;
 	c = pw_ask(e, "GET", "/safe/", 4000);
 	CU_ASSERT(pw_call_wait(c, 200));
@@ -91,7 +91,7 @@
 	far = pw_server_add_in("app", 0, "b");
 	e = pw_entry_ready();
 	drain("b");
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	near->mode = PW_ERROR;
 	c = pw_ask(e, "GET", "/safe/", 4000);
 	CU_ASSERT(pw_call_wait(c, 1000));
@@ -100,7 +100,7 @@
 	pw_end();
 }
 
-/* What runs there goes on elsewhere, with its memory and without a pause that a reader sees. */
+/* Streams are moved elsewhere with their memory, without a noticeable pause for readers. */
 static void streams_leave_a_drained_data_centre(void)
 {
 	struct pw_server *far, *near;
@@ -116,11 +116,11 @@
 	pw_run(300);
 	near = pw_server_add("llm", 1);
 	near->events = 400;
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	drain("b");
 	pw_run(1500);
 	for (i = 0; i < 3; i++) CU_ASSERT_EQUAL(pw_runs_of(c[i]->id), 2);
-	CU_ASSERT(!pw_log_has(e, "backend_ejected")); /* they stopped as they were told */
+	CU_ASSERT(!pw_log_has(e, "backend_ejected")); /* they stopped on request */
 	for (i = 0; i < 3; i++) {
 		CU_ASSERT(pw_call_wait(c[i], 6000));
 		CU_ASSERT(pw_stream_whole(c[i], 400));
@@ -132,7 +132,7 @@
 	pw_end();
 }
 
-/* A stream that lost its engine had its copy there. */
+/* A stream loses its engine, and its replica is in the drained data centre. */
 static void no_stream_goes_on_from_a_copy_there(void)
 {
 	struct pw_server *engine, *with_copy;
@@ -148,7 +148,7 @@
 	for (i = 0; i < 6; i++) c[i] = pw_ask(e, "POST", "/chat/", 9000);
 	pw_run(600);
 	CU_ASSERT(engine->arrivals > 0);
-	engine->move_ms = 5000; /* what runs at the other one stays there meanwhile */
+	engine->move_ms = 5000; /* runs at the other engine stay there meanwhile */
 	drain("b");
 	pw_run(50);
 	with_copy->copies = 0;
@@ -159,7 +159,7 @@
 	pw_end();
 }
 
-/* Two instances; the store turns the second away, which hears of it from the first. */
+/* The store refuses the second of two instances, which receives the drain from the first. */
 static void who_the_store_turns_away_hears_of_it(void)
 {
 	struct pw_server *near, *far;
@@ -179,15 +179,16 @@
 	pw_store_cut_second();
 	pw_run(300);
 	drain("b");
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	CU_ASSERT_EQUAL(arrivals_of_calls(far, e, 2), 0);
-	take_back("b");
-	pw_run(HEARD_MS);
+	restore("b");
+	pw_run(PROPAGATION_MS);
 	CU_ASSERT(arrivals_of_calls(far, &e[1], 1) > 0);
 	pw_end();
 }
 
-/* The store is away, and one starts: others tell it before it serves. */
+/* An instance that starts while the store is down receives the drain from peers before it takes
+ * requests. */
 static void who_starts_hears_of_it_before_it_serves(void)
 {
 	struct pw_server *near, *far;
@@ -201,7 +202,7 @@
 	e[1] = pw_entry_ready();
 	pw_run(800);
 	drain("b");
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	pw_entry_kill(e[1], SIGKILL);
 	pw_entry_wait(e[1], 500);
 	pw_store.mode = PW_STORE_DOWN;
@@ -212,7 +213,7 @@
 	pw_end();
 }
 
-/* Neither a drain nor its end is told by watches that have fallen silent. */
+/* Silent watches return neither a drain nor its end; confirmations find both. */
 static void silent_watches_hide_no_drain(void)
 {
 	struct pw_server *near, *far;
@@ -228,13 +229,13 @@
 	drain("b");
 	pw_run(CONFIRM_MS);
 	CU_ASSERT_EQUAL(arrivals_of_calls(far, &e, 1), 0);
-	take_back("b");
+	restore("b");
 	pw_run(CONFIRM_MS);
 	CU_ASSERT(arrivals_of_calls(far, &e, 1) > 0);
 	pw_end();
 }
 
-/* It was taken back while the store was away, and the store forgot that since. */
+/* The data centre is restored while the store is down, and the store compacts that change. */
 static void a_forgotten_history_hides_no_end_of_a_drain(void)
 {
 	struct pw_server *near, *far;
@@ -246,11 +247,11 @@
 	far = pw_server_add_in("app", 0, "b");
 	e = pw_entry_ready();
 	drain("b");
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	pw_store.mode = PW_STORE_DOWN;
 	pw_store.watches_silent = 1;
 	pw_run(300);
-	take_back("b");
+	restore("b");
 	pw_store_compact();
 	pw_run(300);
 	CU_ASSERT_EQUAL(arrivals_of_calls(far, &e, 1), 0);
@@ -260,7 +261,7 @@
 	pw_end();
 }
 
-/* Keys that name no data centre, or one without servers, or that hold anything at all. */
+/* Keys that name no data centre or one without servers, and keys with any value. */
 static void what_a_key_holds_does_not_matter(void)
 {
 	struct pw_server *near, *far;
@@ -273,18 +274,18 @@
 	e = pw_entry_ready();
 	drain("");
 	drain("nowhere");
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	CU_ASSERT(arrivals_of_calls(far, &e, 1) > 0);
 	pw_store_put("op/evacuate/b", "no such thing");
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	CU_ASSERT_EQUAL(arrivals_of_calls(far, &e, 1), 0);
 	pw_server_add_in("app", 0, "nowhere")->work_ms = 1;
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	CU_ASSERT_EQUAL(arrivals_of_calls(far, &e, 1), 0);
 	pw_end();
 }
 
-/* The lists are old: engines are asked for their health, but not those. */
+/* The lists are stale, so engines are probed, but not those in a drained data centre. */
 static void no_health_check_goes_there(void)
 {
 	struct pw_server *far;
@@ -298,11 +299,11 @@
 	c = pw_ask(e, "POST", "/chat/", 9000);
 	pw_run(300);
 	drain("b");
-	pw_run(HEARD_MS);
+	pw_run(PROPAGATION_MS);
 	pw_store.mode = PW_STORE_DOWN;
 	pw_run(3500);
 	CU_ASSERT_EQUAL(far->checks + far->reports, 0);
-	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1); /* nowhere to go: it runs on */
+	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1); /* no other engine: it continues there */
 	pw_call_leave(c);
 	pw_store.mode = PW_STORE_OK;
 	pw_end();
--- a/test/test_life.c
+++ b/test/test_life.c
@@ -1,4 +1,4 @@
-/* Backend servers that are back under their id, and entries by other writers. */
+/* New incarnations of backend servers under the same id, and entries by other writers. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
@@ -6,29 +6,29 @@
 #include <signal.h>
 #include <string.h>
 
-#define SECOND_PORT 6900 /* where a server stands in its second life */
+#define SECOND_PORT 6900 /* the first port of later incarnations */
 
-/* Ends its life, and lists a newer one under its id, at another address or the same. */
-static void begin_anew(struct pw_server *s, int elsewhere)
+/* Ends the incarnation, and lists a newer one under its id at another address or the same. */
+static void start_incarnation(struct pw_server *s, int elsewhere)
 {
-	static int64_t lives;
+	static int64_t incarnations;
 
 	pw_server_die(s);
 	if (elsewhere)
 		g_snprintf(s->address, sizeof s->address, "%s:%d", pw_server_ip(),
-			   SECOND_PORT + (int)(++lives % 90));
-	s->born_ms = clock_wall_ms() + ++lives;
+			   SECOND_PORT + (int)(++incarnations % 90));
+	s->born_ms = clock_wall_ms() + ++incarnations;
 	pw_server_listen(s);
 	pw_server_list(s, "ready");
 }
 
-static void list_born(struct pw_server *s)
+static void list_incarnation(struct pw_server *s)
 {
 	s->born_ms = clock_wall_ms();
 	pw_server_list(s, "ready");
 }
 
-/* Its id named a server that leaves, for good: nothing was sent there any more. */
+/* If leaving were recorded for the id, its next incarnation would never get a request. */
 static void a_server_that_left_is_used_in_its_next_life(void)
 {
 	struct pw_entry *e[2];
@@ -37,18 +37,18 @@
 
 	pw_init();
 	s = pw_server_add("app", 0);
-	list_born(s);
+	list_incarnation(s);
 	for (i = 0; i < 2; i++) e[i] = pw_entry_ready();
 	pw_run(600);
 	pw_server_list(s, "draining");
 	pw_run(300);
-	begin_anew(s, 1);
+	start_incarnation(s, 1);
 	pw_run(400);
 	for (i = 0; i < 10; i++) CU_ASSERT_EQUAL(pw_status_of_key(e[i % 2], "k1"), 200);
 	pw_end();
 }
 
-/* Loads, doubts and ends were those of the life before. */
+/* Load, suspicion and outcomes of the incarnation before don't count for the new one. */
 static void a_new_life_begins_with_nothing(void)
 {
 	struct pw_call *c[6];
@@ -58,7 +58,7 @@
 
 	pw_init();
 	s = pw_server_add("app", 0);
-	list_born(s);
+	list_incarnation(s);
 	for (i = 0; i < 2; i++) e[i] = pw_entry_ready();
 	pw_run(600);
 	s->mode = PW_HANG;
@@ -67,16 +67,16 @@
 	s->mode = PW_OK;
 	other = pw_server_add("app", 0);
 	other->work_ms = 80;
-	begin_anew(s, 0);
+	start_incarnation(s, 0);
 	pw_run(150);
-	for (i = 0; i < 6; i++) CU_ASSERT(c[i]->ended); /* what ran there ended with it */
+	for (i = 0; i < 6; i++) CU_ASSERT(c[i]->ended); /* runs there end with it */
 	s->arrivals = 0;
 	for (i = 0; i < 8; i++) CU_ASSERT_EQUAL(pw_status_of_key(e[i % 2], "k1"), 200);
-	CU_ASSERT(s->arrivals >= 6); /* it is the quicker one, and idle */
+	CU_ASSERT(s->arrivals >= 6); /* it is the faster one, and idle */
 	pw_end();
 }
 
-/* Behind a cut no reset tells that a life is over: its next one does. */
+/* Across a network cut no reset shows that an incarnation ended; the next one's entry does. */
 static void streams_of_a_life_that_ended_unheard_go_on(void)
 {
 	struct pw_server *s, *other;
@@ -85,7 +85,7 @@
 
 	pw_init();
 	s = pw_server_add("llm", 1);
-	list_born(s);
+	list_incarnation(s);
 	e = pw_entry_ready();
 	s->mode = PW_SILENT;
 	s->break_after = 5;
@@ -102,7 +102,7 @@
 	pw_end();
 }
 
-/* A peer that knows more or less tells of one life; the other is not touched. */
+/* A peer reports an older or newer incarnation: the current one is not affected. */
 static void word_of_one_life_does_not_touch_another(void)
 {
 	struct pw_server *s;
@@ -112,13 +112,13 @@
 
 	pw_init();
 	s = pw_server_add("app", 0);
-	list_born(s);
+	list_incarnation(s);
 	old = s->born_ms;
 	e = pw_entry_ready();
 	p = pw_peer_new(e, 0);
 	p->takes_callers = 1;
 	pw_run(600);
-	begin_anew(s, 0);
+	start_incarnation(s, 0);
 	pw_run(300);
 	pw_peer_tells_leaving(p, s->id, old);
 	pw_run(50);
@@ -129,7 +129,7 @@
 	s->born_ms += 500;
 	pw_server_list(s, "ready");
 	pw_run(300);
-	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 503); /* and then it leaves at once */
+	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 503); /* it leaves as soon as it is listed */
 	pw_peers_end();
 	pw_end();
 }
@@ -220,7 +220,7 @@
 	pw_end();
 }
 
-/* It gets no new work, and what runs there goes on: nothing says that it ended. */
+/* The server gets no new work, and runs there continue, as nothing shows that it stopped. */
 static void an_entry_that_turns_unreadable_ends_nothing(void)
 {
 	struct pw_server *s[2];
@@ -246,7 +246,7 @@
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
 	CU_ASSERT_EQUAL(s[0]->moves + s[1]->moves, 0);
 	s[1 - i]->mode = PW_FULL;
-	pw_server_list(s[i], "ready"); /* readable again: in use again */
+	pw_server_list(s[i], "ready"); /* valid again: used again */
 	pw_run(200);
 	c = pw_ask(e, "POST", "/sum/", 20000);
 	CU_ASSERT(pw_call_wait(c, 3000));
@@ -254,7 +254,7 @@
 	pw_end();
 }
 
-/* Keys beside the members' own: names, addresses, any bytes. */
+/* Foreign keys beside those of instances, with any names, addresses and bytes. */
 static void keys_by_other_writers_name_no_instance(void)
 {
 	struct pw_entry *e[2];
--- a/test/test_limits.c
+++ b/test/test_limits.c
@@ -1,4 +1,4 @@
-/* Servers that name a limit: what all instances together send to one. */
+/* Servers that name a rate limit: how many requests all instances together send to one. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
@@ -7,11 +7,11 @@
 #define INSTANCES 3
 #define SERVERS 5
 #define WINDOW_MS 4000
-#define SETTLE_US 500000 /* from the first answer that names it */
-#define EACH_MS 8        /* between two calls */
-#define WORK_MS 25       /* so that all servers are about as busy */
+#define SETTLE_US 500000 /* after the first answer that names it */
+#define CALL_EACH_MS 8   /* between two calls */
+#define WORK_MS 25       /* makes all servers about equally busy */
 
-/* The users' bound for a window. */
+/* The users' bound for one window. */
 static int allowed(double per_s)
 {
 	return (int)(1.5 * per_s * WINDOW_MS / 1000 + 5);
@@ -34,10 +34,10 @@
 		s[i]->work_ms = WORK_MS;
 	}
 	for (i = 0; i < INSTANCES; i++) e[i] = pw_entry_ready();
-	pw_run(1600); /* they know each other */
+	pw_run(1600); /* until the instances have found each other */
 }
 
-static void say(const char *limit)
+static void announce(const char *limit)
 {
 	s[0]->says = limit;
 	named_us = clock_us();
@@ -50,11 +50,11 @@
 	while (clock_us() < until) {
 		g_ptr_array_add(calls,
 				pw_ask(e[calls->len % INSTANCES], "POST", "/safe/", 2000));
-		pw_run(EACH_MS);
+		pw_run(CALL_EACH_MS);
 	}
 }
 
-/* Calls that were not served. */
+/* Number of calls that were not answered with 200. */
 static int not_served(void)
 {
 	uint32_t i;
@@ -69,36 +69,37 @@
 	return n;
 }
 
-static void stop(void)
+static void finish(void)
 {
 	g_ptr_array_free(calls, TRUE);
 	pw_end();
 }
 
-/* What each instance sent was below the limit, and their sum far above. */
+/* If each instance kept to the limit alone, their sum would be far above it. */
 static void a_limit_bounds_what_all_instances_send_together(void)
 {
 	int most;
 
 	start();
-	say("Server-Limit: 3.6\r\n");
+	announce("Server-Limit: 3.6\r\n");
 	call_for(5500);
 	most = pw_server_most(s[0], named_us + SETTLE_US, WINDOW_MS);
 	CU_ASSERT(most <= allowed(3.6));
-	CU_ASSERT(most >= 3.6 * WINDOW_MS / 1000 / 2); /* and it is not left idle */
+	CU_ASSERT(most >= 3.6 * WINDOW_MS / 1000 / 2); /* nor is it left idle */
 	CU_ASSERT_EQUAL(not_served(), 0);
 	fprintf(stderr, "most in the window: %d of %d\n", most, allowed(3.6));
-	stop();
+	finish();
 }
 
-/* One that starts hears of the limit before it serves, and its life before counts. */
+/* A starting instance receives the limit before it takes requests, and the requests of its
+ * previous incarnation count. */
 static void a_limit_holds_while_instances_start_again(void)
 {
 	int i;
 
 	start();
 	pw_store.mode = PW_STORE_SILENT;
-	say("Server-Limit: 1\r\n");
+	announce("Server-Limit: 1\r\n");
 	call_for(1500);
 	for (i = 0; i < 3; i++) {
 		pw_entry_kill(e[i], SIGKILL);
@@ -107,25 +108,25 @@
 		call_for(1300);
 	}
 	CU_ASSERT(pw_server_most(s[0], named_us + SETTLE_US, WINDOW_MS) <= allowed(1));
-	stop();
+	finish();
 }
 
 static void a_limit_ends_with_an_answer_that_names_none(void)
 {
 	start();
-	say("Server-Limit: 2.5\r\n");
+	announce("Server-Limit: 2.5\r\n");
 	call_for(1500);
-	say(NULL);
+	announce(NULL);
 	call_for(3500);
 	CU_ASSERT(pw_server_most(s[0], named_us, WINDOW_MS) > allowed(2.5));
 	CU_ASSERT_EQUAL(not_served(), 0);
-	stop();
+	finish();
 }
 
-/* Neither lifted, nor nothing for good. */
+/* An unusable number neither lifts the limit nor stops requests for good. */
 static void numbers_that_are_none_lift_no_limit(void)
 {
-	static const char *const said[] = {
+	static const char *const headers[] = {
 		"Server-Limit: inf\r\n",  "Server-Limit: -3\r\n",
 		"Server-Limit: nan\r\n",  "Server-Limit: 1e300\r\n",
 		"Server-Limit: \r\n",     "Server-Limit: 0x10\r\n",
@@ -133,24 +134,24 @@
 	uint32_t i;
 
 	start();
-	say("Server-Limit: 900\r\nServer-Limit: 2\r\n");
+	announce("Server-Limit: 900\r\nServer-Limit: 2\r\n");
 	call_for(500);
-	for (i = 0; i < G_N_ELEMENTS(said); i++) {
-		s[0]->says = said[i];
+	for (i = 0; i < G_N_ELEMENTS(headers); i++) {
+		s[0]->says = headers[i];
 		call_for(600);
 	}
 	CU_ASSERT(pw_server_most(s[0], named_us + SETTLE_US, WINDOW_MS) <= allowed(2));
 	CU_ASSERT(pw_metric(e[0], "saddlehead_notices_unread_total") > 0);
-	say(NULL);
+	announce(NULL);
 	call_for(3000);
 	CU_ASSERT(pw_server_most(s[0], named_us, WINDOW_MS) > allowed(2));
-	stop();
+	finish();
 }
 
-/* What can wait does, and the rest is told at once when there is room. */
+/* Requests wait if they can, and the others are refused at once with a time to retry. */
 static void where_all_servers_name_limits_callers_have_their_answer_at_once(void)
 {
-	uint32_t i, refused = 0, served = 0, slow = 0, untold = 0;
+	uint32_t i, refused = 0, served = 0, slow = 0, without_retry_after = 0;
 	int k;
 
 	start();
@@ -165,19 +166,19 @@
 		if (c->status != 503) continue;
 		refused++;
 		slow += c->ended_us - c->began_us > 300000;
-		untold += g_ascii_strtod(c->retry_after, NULL) <= 0;
+		without_retry_after += g_ascii_strtod(c->retry_after, NULL) <= 0;
 	}
-	CU_ASSERT_EQUAL(untold, 0);
+	CU_ASSERT_EQUAL(without_retry_after, 0);
 	CU_ASSERT_EQUAL(served + refused, calls->len);
-	CU_ASSERT(slow <= refused / 20); /* those that others, more urgent, came before */
+	CU_ASSERT(slow <= refused / 20); /* those overtaken by more urgent ones */
 	CU_ASSERT(served > 3 * SERVERS);
 	for (k = 0; k < SERVERS; k++)
 		CU_ASSERT(pw_server_most(s[k], named_us + SETTLE_US, WINDOW_MS) <= allowed(1));
 	CU_ASSERT(pw_log_has(e[0], "request_held_back"));
-	stop();
+	finish();
 }
 
-/* Its callers come back at once, to any instance. */
+/* Callers of an instance without a share are asked to retry at once, at any instance. */
 static void one_without_a_share_sends_callers_to_others(void)
 {
 	struct pw_call *c;
@@ -185,7 +186,7 @@
 
 	nservers = 1;
 	start();
-	say("Server-Limit: 0.2\r\n");
+	announce("Server-Limit: 0.2\r\n");
 	call_for(300);
 	for (i = 0; i < INSTANCES; i++) {
 		c = pw_ask(e[i], "POST", "/safe/", 1000);
@@ -195,10 +196,10 @@
 	}
 	CU_ASSERT_EQUAL(soon, INSTANCES - 1);
 	nservers = SERVERS;
-	stop();
+	finish();
 }
 
-/* Streams leave an engine that names a limit: orders, copies and reports are requests, too. */
+/* Streams move from an engine with a limit: moves, copies and reports count as requests. */
 static void what_engines_are_ordered_counts_too(void)
 {
 	struct pw_server *first, *other;
--- a/test/test_lists.c
+++ b/test/test_lists.c
@@ -1,16 +1,16 @@
-/* What instances know of the platform's lists from the store and from each other. */
+/* How instances get the platform's lists from the store and from each other. */
 #include "check.h"
 #include "pw.h"
 #include <string.h>
 
-#define NOBODY_HOST 199 /* no instance stands there */
-/* All have heard each other, and whoever is to watch does; lists are not yet read once more. */
-#define HEARD_MS 400
-#define SLOW_MS 20    /* the one that goes is the quickest */
-#define LISTED_MS 150 /* it has listed, and waits for others before it watches */
+#define ABSENT_HOST 199 /* no instance has this address */
+/* All have received each other and the ones that must watch do; no list was checked yet. */
+#define SETTLE_MS 400
+#define SLOW_MS 20    /* makes the removed server the fastest */
+#define LISTED_MS 150 /* the instance has listed, and awaits others before it watches */
 
-/* Instances that start from now on know of this one, on a link of so many Mbit/s. */
-static void next_seed(const char *ip, int link_mbps)
+/* Instances started from now on have this seed and a link of link_mbps Mbit/s. */
+static void set_seed(const char *ip, int link_mbps)
 {
 	static char lines[128];
 
@@ -28,7 +28,7 @@
 	CU_ASSERT_EQUAL(gone->arrivals, 0);
 }
 
-/* Two servers, an instance that has listed both, and the first is gone from the list then. */
+/* Two servers and an instance that has listed both; then the first is removed from the list. */
 static struct pw_entry *lists_before_one_goes(struct pw_server **gone, int link_mbps)
 {
 	struct pw_entry *e;
@@ -36,7 +36,7 @@
 	pw_init();
 	*gone = pw_server_add("app", 0);
 	pw_server_add("app", 0)->work_ms = SLOW_MS;
-	next_seed(pw_ip(NOBODY_HOST), link_mbps);
+	set_seed(pw_ip(ABSENT_HOST), link_mbps);
 	e = pw_entry_start();
 	pw_run(LISTED_MS);
 	pw_server_unlist(*gone);
@@ -44,40 +44,41 @@
 	return e;
 }
 
-/* It had listed before the change, and watched from the other's listing after it. */
+/* An instance that listed before a change must not start its watch after it, from the revision
+ * of another instance's listing. */
 static void the_listing_of_another_hides_no_change(void)
 {
 	struct pw_server *gone;
 	struct pw_entry *e = lists_before_one_goes(&gone, 1000);
 
-	next_seed(e->ip, 1000);
+	set_seed(e->ip, 1000);
 	pw_entry_start();
-	pw_run(HEARD_MS);
+	pw_run(SETTLE_MS);
 	no_call_goes_to(e, gone);
 	pw_end();
 }
 
-/* Those that watch for it had not known what went before they started. */
+/* The instances that watch for it started after the removal and never had the removed key. */
 static void one_that_never_watches_hears_of_what_went_before_others_started(void)
 {
 	struct pw_server *gone;
 	struct pw_entry *e = lists_before_one_goes(&gone, 10);
 	int i;
 
-	next_seed(e->ip, 1000);
+	set_seed(e->ip, 1000);
 	for (i = 0; i < 3; i++) pw_entry_start();
-	pw_run(HEARD_MS);
+	pw_run(SETTLE_MS);
 	no_call_goes_to(e, gone);
 	pw_end();
 }
 
 #define PAGE 50
-/* One asks whether the configuration is the newest, two list a page each, one asks what
- * changed: once in 0.9 s at the soonest. */
-#define CALLS_A_TURN 4
+/* One confirms the configuration, two list a page each and one polls for changes, at most once
+ * in 0.9 s. */
+#define CALLS_PER_TURN 4
 #define TURN_MS 900
 
-/* Entries of servers that nobody asks, which come before those that are. */
+/* Entries of servers without requests, with keys before those of the others. */
 static void list_idle_servers(int n)
 {
 	char key[32], value[320];
@@ -106,12 +107,12 @@
 		pw_run(1000);
 		pw_store.calls = 0;
 		pw_run(4 * TURN_MS);
-		CU_ASSERT(pw_store.calls <= 5 * CALLS_A_TURN);
+		CU_ASSERT(pw_store.calls <= 5 * CALLS_PER_TURN);
 		pw_end();
 	}
 }
 
-/* Watches and glances say nothing; the page on which it stood is listed once more. */
+/* Watches and polls are silent; the page with the removed server is listed again. */
 static void silent_watches_hide_nothing_of_a_long_list_for_long(void)
 {
 	struct pw_server *gone;
@@ -126,12 +127,12 @@
 	pw_run(1000);
 	pw_store.watches_silent = 1;
 	pw_server_unlist(gone);
-	pw_run(5000); /* two turns of 1.8 s at the most, and some way */
+	pw_run(5000); /* two turns of at most 1.8 s each, with a margin */
 	no_call_goes_to(e, gone);
 	pw_end();
 }
 
-/* An instance of data centre b, which knows those that started before it. */
+/* Starts an instance in data centre b, which finds the earlier ones through the seed. */
 static struct pw_entry *start_in_b(const struct pw_entry *seed)
 {
 	static char lines[128];
@@ -141,8 +142,8 @@
 	return pw_entry_ready();
 }
 
-/* Whether e took a list from the other one, by its log. */
-static int took_from(struct pw_entry *e, const struct pw_entry *other)
+/* Whether e fetched a list from the other instance, by its log. */
+static int fetched_from(struct pw_entry *e, const struct pw_entry *other)
 {
 	char text[64];
 
@@ -152,17 +153,17 @@
 }
 
 /* The same within some seconds. */
-static int takes_from(struct pw_entry *e, const struct pw_entry *other)
+static int fetches_from(struct pw_entry *e, const struct pw_entry *other)
 {
 	int i;
 
 	for (i = 0; i < 12; i++)
-		if (took_from(e, other)) return 1;
+		if (fetched_from(e, other)) return 1;
 	return 0;
 }
 
-/* One of each data centre has the list; whoever starts takes it from the near one, and asks the
- * store for no more than its first page. */
+/* An instance of each data centre has the list: a starting one fetches it from the one in its
+ * own data centre, and lists only the first page from the store. */
 static void a_long_list_is_had_from_the_own_data_centre(void)
 {
 	struct pw_entry *e[3];
@@ -174,19 +175,19 @@
 	e[0] = pw_entry_ready();
 	pw_run(500);
 	e[1] = start_in_b(e[0]);
-	CU_ASSERT(takes_from(e[1], e[0]));
+	CU_ASSERT(fetches_from(e[1], e[0]));
 	pw_store.listings = 0;
 	e[2] = start_in_b(e[0]);
 	pw_run(600);
-	/* Its own of both lists, one for instances, and two turns of two pages. */
+	/* One for each of both lists, one for members, and two turns of two pages. */
 	CU_ASSERT(pw_store.listings <= 7);
-	CU_ASSERT(takes_from(e[2], e[1]));
-	CU_ASSERT(!took_from(e[2], e[0]));
+	CU_ASSERT(fetches_from(e[2], e[1]));
+	CU_ASSERT(!fetched_from(e[2], e[0]));
 	CU_ASSERT_EQUAL(pw_status_of_key(e[2], "k1"), 200);
 	pw_end();
 }
 
-/* Nobody has it: those that watch list it whole. */
+/* No instance has it: those that watch list it completely. */
 static void a_long_list_that_nobody_has_is_read_from_the_store(void)
 {
 	struct pw_entry *e[2];
@@ -195,7 +196,7 @@
 	pw_init();
 	pw_store.page = PAGE;
 	list_idle_servers(PAGE * 8);
-	pw_server_add("zzz", 0); /* on the last page, as its key says */
+	pw_server_add("zzz", 0); /* on the last page, by its key */
 	pw_settings("firstStart=false\n");
 	for (i = 0; i < 2; i++) e[i] = pw_entry_start();
 	pw_run(2500);
@@ -204,10 +205,10 @@
 }
 
 #define IDLE_MS 3000
-#define MORE_MOST_S \
-	(IDLE_MS / 1000 * .002) /* of a core's time: a thousandth is a page's reading */
+#define EXTRA_MAX_S \
+	(IDLE_MS / 1000 * .002) /* of a core's time; reading a page takes a thousandth */
 
-/* Processor time of an instance that does nothing, in seconds. */
+/* Processor time of an idle instance, in seconds. */
 static double idle_cpu_s(int pages)
 {
 	static const char name[] = "saddlehead_process_cpu_seconds_total";
@@ -218,7 +219,7 @@
 	pw_store.page = PAGE;
 	list_idle_servers(PAGE * pages);
 	e = pw_entry_ready();
-	pw_run(3000); /* until all of the list is read */
+	pw_run(3000); /* until the whole list is read */
 	before = pw_metric(e, name);
 	pw_run(IDLE_MS);
 	after = pw_metric(e, name);
@@ -228,7 +229,7 @@
 
 static void what_stands_still_costs_nothing_however_long_the_list(void)
 {
-	CU_ASSERT(idle_cpu_s(160) - idle_cpu_s(4) < MORE_MOST_S);
+	CU_ASSERT(idle_cpu_s(160) - idle_cpu_s(4) < EXTRA_MAX_S);
 }
 
 static const struct check list[] = {
--- a/test/test_notices.c
+++ b/test/test_notices.c
@@ -1,4 +1,4 @@
-/* What servers say of themselves in their answers: that they leave, and that they want rest. */
+/* Notices of servers in their answers: that they leave, and that they ask for back-off. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
@@ -6,7 +6,7 @@
 
 #define SERVERS 5
 #define DRAIN_MS 2000
-#define EACH_MS 10 /* between two calls */
+#define CALL_EACH_MS 10 /* between two calls */
 #define LEAVES "Server-Leaving: 1\r\n"
 
 static struct pw_entry *e[3];
@@ -28,7 +28,7 @@
 	pw_run(800);
 }
 
-static void stop(void)
+static void finish(void)
 {
 	g_ptr_array_free(calls, TRUE);
 	pw_end();
@@ -43,7 +43,7 @@
 	while (clock_us() < until) {
 		g_ptr_array_add(calls, pw_ask(e[calls->len % (unsigned)instances], "POST",
 					      "/safe/", deadline_ms));
-		pw_run(EACH_MS);
+		pw_run(CALL_EACH_MS);
 	}
 }
 
@@ -61,7 +61,7 @@
 	return n;
 }
 
-/* Its answers said so, its entry did not. */
+/* Its answers announce that it leaves, but its entry does not. */
 static void a_server_that_leaves_by_its_answers_gets_nothing_new(void)
 {
 	start(3);
@@ -72,10 +72,10 @@
 	call_for(3, 1500);
 	CU_ASSERT_EQUAL(s[0]->arrivals, 0);
 	CU_ASSERT_EQUAL(not_served(), 0);
-	stop();
+	finish();
 }
 
-/* Its entry says ready all the time, and is written anew. */
+/* Its entry shows it as ready all the time, and is written again. */
 static void word_that_a_server_leaves_comes_to_instances_that_start(void)
 {
 	start(3);
@@ -89,7 +89,7 @@
 	s[0]->arrivals = 0;
 	call_for(3, 1000);
 	CU_ASSERT_EQUAL(s[0]->arrivals, 0);
-	stop();
+	finish();
 }
 
 static void a_server_that_leaves_is_not_taken_back_when_its_entry_lapsed(void)
@@ -104,10 +104,10 @@
 	s[0]->arrivals = 0;
 	call_for(2, 500);
 	CU_ASSERT_EQUAL(s[0]->arrivals, 0);
-	stop();
+	finish();
 }
 
-/* Full, and leaving: it did not run the request, but it said so. */
+/* A full server that leaves rejects a request, and its answer announces that it leaves. */
 static void what_was_turned_away_is_told_that_a_server_leaves_too(void)
 {
 	start(1);
@@ -119,7 +119,7 @@
 	call_for(1, 400);
 	CU_ASSERT_EQUAL(s[0]->arrivals, 0);
 	CU_ASSERT_EQUAL(not_served(), 0);
-	stop();
+	finish();
 }
 
 static void streams_leave_an_engine_whose_answer_says_that_it_leaves(void)
@@ -146,85 +146,85 @@
 	pw_end();
 }
 
-#define REST "Retry-After: 1.5\r\n"
-#define REST_MS 1500
-#define REST_FROM_MS 500 /* what is under way then may still come */
-#define REST_MOST 2      /* of an instance, in the rest of the time */
+#define BACKOFF "Retry-After: 1.5\r\n"
+#define BACKOFF_MS 1500
+#define BACKOFF_FROM_MS 500    /* requests in flight at the start may still arrive */
+#define BACKOFF_REQUESTS_MAX 2 /* from one instance in the remaining time */
 
-/* Turns all away, and asks each instance for rest. */
-static void ask_for_rest(int servers)
+/* Makes the servers reject all requests and ask each instance for back-off. */
+static void ask_for_backoff(int servers)
 {
 	int i;
 
 	for (i = 0; i < servers; i++) {
 		s[i]->mode = PW_FULL;
-		s[i]->says = REST;
+		s[i]->says = BACKOFF;
 	}
 }
 
-/* Most that came to any server from the one instance in the time that it had asked for. */
-static int most_in_a_rest(void)
+/* The most requests that one instance sent any server during its back-off. */
+static int max_in_a_backoff(void)
 {
 	int i, most = 0;
 
 	for (i = 0; i < SERVERS; i++)
 		if (s[i]->mode == PW_FULL)
 			most = MAX(most, pw_server_most(s[i], clock_us() - 60000000,
-							REST_MS - REST_FROM_MS));
+							BACKOFF_MS - BACKOFF_FROM_MS));
 	return most;
 }
 
 static void a_server_that_asked_for_rest_has_it(void)
 {
 	start(1);
-	ask_for_rest(1);
+	ask_for_backoff(1);
 	call_for(1, 4500);
-	CU_ASSERT(most_in_a_rest() <= REST_MOST);
-	CU_ASSERT(s[0]->arrivals >= 2); /* asked again after it */
+	CU_ASSERT(max_in_a_backoff() <= BACKOFF_REQUESTS_MAX);
+	CU_ASSERT(s[0]->arrivals >= 2); /* requests are sent again after it */
 	CU_ASSERT_EQUAL(not_served(), 0);
 	fprintf(stderr, "%d arrivals\n", s[0]->arrivals);
-	stop();
+	finish();
 }
 
-/* Nobody may be asked: known at once, and told when somebody may be. */
+/* No server may get a request: callers are refused at once, with the time when one may. */
 static void where_all_servers_rest_callers_have_their_answer_at_once(void)
 {
 	uint32_t i, refused = 0, slow = 0, too_soon = 0;
 
 	start(1);
-	ask_for_rest(SERVERS);
+	ask_for_backoff(SERVERS);
 	deadline_ms = 600;
 	call_for(1, 3000);
 	not_served();
 	for (i = 0; i < calls->len; i++) {
 		const struct pw_call *c = g_ptr_array_index(calls, i);
-		double back_s = g_ascii_strtod(c->retry_after, NULL);
-		int k, done = 0;
+		double retry_s = g_ascii_strtod(c->retry_after, NULL);
+		int k, with_arrivals = 0;
 
 		CU_ASSERT_EQUAL(c->status, 503);
 		refused++;
 		slow += c->ended_us - c->began_us > 650000;
-		for (k = 0; k < SERVERS; k++) done += s[k]->arrivals > 0;
-		too_soon += done == SERVERS && back_s <= 0;
+		for (k = 0; k < SERVERS; k++) with_arrivals += s[k]->arrivals > 0;
+		too_soon += with_arrivals == SERVERS && retry_s <= 0;
 	}
 	CU_ASSERT(refused > 100);
 	CU_ASSERT_EQUAL(slow, 0);
 	CU_ASSERT_EQUAL(too_soon, 0);
-	CU_ASSERT(most_in_a_rest() <= REST_MOST);
+	CU_ASSERT(max_in_a_backoff() <= BACKOFF_REQUESTS_MAX);
 	CU_ASSERT(pw_metric(e[0], "saddlehead_refused_total{reason=\"servers_paced\"}") > 50);
 	CU_ASSERT(pw_log_has(e[0], "\"why\":\"rest\""));
 	deadline_ms = 2000;
-	stop();
+	finish();
 }
 
-/* All that waited for the end of a rest came at once. */
+/* Requests that wait for the end of a back-off must not all be sent at once. */
 static void what_waited_for_a_rest_comes_back_little_by_little(void)
 {
 	int64_t from;
 
 	nservers = 1;
 	start(1);
-	ask_for_rest(1);
+	ask_for_backoff(1);
 	call_for(1, 200);
 	s[0]->mode = PW_OK;
 	s[0]->says = NULL;
@@ -234,21 +234,21 @@
 	CU_ASSERT(pw_server_most(s[0], from, 2000) > 60);
 	CU_ASSERT(pw_server_most(s[0], from, 15) <= 16);
 	nservers = SERVERS;
-	stop();
+	finish();
 }
 
-/* Ten years, a date, none: it is asked again in a while, or as one that asked for nothing. */
+/* Negative, infinite, empty or huge values and dates: the server gets requests again soon. */
 static void rests_that_are_no_numbers_keep_nobody_out(void)
 {
-	static const char *const said[] = {"Retry-After: -3\r\n", "Retry-After: inf\r\n",
-					   "Retry-After: Fri, 04 Dec 2026 10:00:00 GMT\r\n",
-					   "Retry-After: \r\n", "Retry-After: 1e9\r\n"};
+	static const char *const headers[] = {"Retry-After: -3\r\n", "Retry-After: inf\r\n",
+					      "Retry-After: Fri, 04 Dec 2026 10:00:00 GMT\r\n",
+					      "Retry-After: \r\n", "Retry-After: 1e9\r\n"};
 	uint32_t i;
 
 	start(1);
-	for (i = 0; i < G_N_ELEMENTS(said); i++) {
+	for (i = 0; i < G_N_ELEMENTS(headers); i++) {
 		s[0]->mode = PW_FULL;
-		s[0]->says = said[i];
+		s[0]->says = headers[i];
 		call_for(1, 250);
 	}
 	CU_ASSERT(pw_metric(e[0], "saddlehead_notices_unread_total") >= 5);
@@ -258,22 +258,22 @@
 	call_for(1, 500);
 	CU_ASSERT(s[0]->arrivals > 0);
 	CU_ASSERT_EQUAL(not_served(), 0);
-	stop();
+	finish();
 }
 
-/* Of two in one head, and of two in a row, the longer one counts. */
+/* Of two values in one head, or in successive answers, the longer one counts. */
 static void the_longest_rest_counts(void)
 {
 	start(1);
 	s[0]->mode = PW_FULL;
 	s[0]->says = "Retry-After: 0.1\r\nRetry-After: 2\r\n";
 	call_for(1, 1900);
-	CU_ASSERT(s[0]->arrivals <= REST_MOST);
+	CU_ASSERT(s[0]->arrivals <= BACKOFF_REQUESTS_MAX);
 	CU_ASSERT_EQUAL(not_served(), 0);
-	stop();
+	finish();
 }
 
-/* Reports and checks are requests, too. */
+/* Reports and health checks are requests too. */
 static void an_engine_that_rests_is_not_asked_how_it_is(void)
 {
 	struct pw_server *first;
@@ -288,12 +288,12 @@
 	pw_run(300);
 	first->mode = PW_FULL;
 	first->says = "Retry-After: 3\r\n";
-	first->ailing = 1; /* the check says 503, too */
+	first->ailing = 1; /* its health check answers 503 too */
 	pw_store.mode = PW_STORE_DOWN;
 	pw_run(5000);
 	most = pw_server_most(first, clock_us() - 4000000, 2500);
 	CU_ASSERT(first->checks + first->reports > 0);
-	CU_ASSERT(most <= REST_MOST);
+	CU_ASSERT(most <= BACKOFF_REQUESTS_MAX);
 	pw_call_leave(c);
 	pw_end();
 }
--- a/test/test_ring.c
+++ b/test/test_ring.c
@@ -1,4 +1,5 @@
-/* Servers of a large fleet as instances look at them: each at some, all of them at all. */
+/* The ring order of servers in a large fleet: each instance scans some servers, and all
+ * instances together scan all of them. */
 #include "be.h"
 #include "be_incarnation.h"
 #include "be_ring.h"
@@ -10,7 +11,7 @@
 #define SERVERS 10000
 #define DATA_CENTRES 6
 #define INSTANCES 985
-#define LOOKS 128 /* of one instance at one choice */
+#define VISITS 128 /* by one instance for one choice */
 
 static int counts[SERVERS];
 
@@ -36,22 +37,22 @@
 	return atoi(b->id + 2);
 }
 
-struct look {
-	int n, most, near;
+struct walk {
+	int n, max, local;
 	int (*usable)(const struct be *b);
 };
 
-static int see(struct be *b, void *arg)
+static int visit(struct be *b, void *arg)
 {
-	struct look *l = arg;
+	struct walk *l = arg;
 
 	if (l->usable && !l->usable(b)) return 1;
 	counts[number_of(b)]++;
-	l->near += b->zone[1] == '2';
-	return ++l->n < l->most;
+	l->local += b->zone[1] == '2';
+	return ++l->n < l->max;
 }
 
-static uint32_t instance(int i)
+static uint32_t hash_of_instance(int i)
 {
 	char ip[16];
 
@@ -59,7 +60,7 @@
 	return g_str_hash(ip) * 2654435761u;
 }
 
-static int seen(void)
+static int count_visited(void)
 {
 	int i, n = 0;
 
@@ -67,43 +68,44 @@
 	return n;
 }
 
-static void look_all(const char *zone, int (*usable)(const struct be *b))
+static void walk_all(const char *zone, int (*usable)(const struct be *b))
 {
 	int i;
 
 	memset(counts, 0, sizeof counts);
 	for (i = 0; i < INSTANCES; i++) {
-		struct look l = {.most = LOOKS, .usable = usable};
+		struct walk l = {.max = VISITS, .usable = usable};
 
-		be_walk("llm", zone, instance(i), see, &l);
-		CU_ASSERT_EQUAL(l.n, LOOKS);
+		be_walk("llm", zone, hash_of_instance(i), visit, &l);
+		CU_ASSERT_EQUAL(l.n, VISITS);
 	}
 }
 
 static void each_looks_at_near_ones_first(void)
 {
-	struct look l = {.most = LOOKS};
+	struct walk l = {.max = VISITS};
 
 	list_servers();
-	be_walk("llm", "z2", instance(1), see, &l);
-	CU_ASSERT_EQUAL(l.near, LOOKS);
+	be_walk("llm", "z2", hash_of_instance(1), visit, &l);
+	CU_ASSERT_EQUAL(l.local, VISITS);
 }
 
-/* None is spared for its place in a list, and none is what all look at. */
+/* No server is left out because of its position, and none is visited by a quarter of the
+ * instances. */
 static void each_server_is_looked_at_by_somebody(void)
 {
 	char zone[8];
-	int d, i, most = 0, n = 0;
+	int d, i, max = 0, n = 0;
 
 	list_servers();
 	for (d = 0; d < DATA_CENTRES; d++) {
 		snprintf(zone, sizeof zone, "z%d", d);
-		look_all(zone, NULL);
-		n += seen();
-		for (i = 0; i < SERVERS; i++) most = MAX(most, counts[i]);
+		walk_all(zone, NULL);
+		n += count_visited();
+		for (i = 0; i < SERVERS; i++) max = MAX(max, counts[i]);
 	}
 	CU_ASSERT_EQUAL(n, SERVERS);
-	CU_ASSERT(most < INSTANCES / 4);
+	CU_ASSERT(max < INSTANCES / 4);
 }
 
 static int beyond_the_first(const struct be *b)
@@ -121,35 +123,35 @@
 	return number_of(b) == SERVERS - 1;
 }
 
-/* Those that come first are away, or full, or a data centre's are: the rest is found. */
+/* The servers that come first, or those of a data centre, can't be used: others are found. */
 static void what_is_away_is_looked_past(void)
 {
-	struct look l = {.most = LOOKS, .usable = last_one};
+	struct walk l = {.max = VISITS, .usable = last_one};
 
 	list_servers();
-	look_all("z0", beyond_the_first);
-	look_all("z2", in_another_data_centre);
-	CU_ASSERT(seen() > SERVERS / 2);
-	be_walk("llm", "z0", instance(7), see, &l);
+	walk_all("z0", beyond_the_first);
+	walk_all("z2", in_another_data_centre);
+	CU_ASSERT(count_visited() > SERVERS / 2);
+	be_walk("llm", "z0", hash_of_instance(7), visit, &l);
 	CU_ASSERT_EQUAL(l.n, 1);
 }
 
 static void what_is_forgotten_is_not_shown(void)
 {
-	struct look before = {.most = SERVERS}, after = {.most = SERVERS};
+	struct walk before = {.max = SERVERS}, after = {.max = SERVERS};
 	struct be *b;
 
 	list_servers();
-	be_walk("llm", "z0", instance(3), see, &before);
+	be_walk("llm", "z0", hash_of_instance(3), visit, &before);
 	b = be_find("i-00007");
 	be_end_incarnation(b, "a test");
-	be_walk("llm", "z0", instance(3), see, &after);
+	be_walk("llm", "z0", hash_of_instance(3), visit, &after);
 	CU_ASSERT_EQUAL(after.n, before.n - 1);
-	be_walk("nothing", "z0", instance(3), see, &after);
+	be_walk("nothing", "z0", hash_of_instance(3), visit, &after);
 	CU_ASSERT_EQUAL(after.n, before.n - 1);
 }
 
-/* More servers begin a new life than are remembered: the newest are. */
+/* More incarnations end than there are records: the newest are kept. */
 static void late_word_of_many_lives_is_known_for_what_it_is(void)
 {
 	char id[16];
