--- a/src/fleet/mesh.c
+++ b/src/fleet/mesh.c
@@ -109,18 +109,18 @@
 				   .link_mbps = cfg->link_mbps,
 				   .serving = mesh_self_serving(),
 				   .verdicts = poison_digest(),
-				   .orders = board_orders_digest(),
+				   .orders = cache_orders_digest(),
 				   .backends_from = watch_backends_from(),
 				   .dc = mesh_self_dc(),
 				   .region = mesh_self_region(),
 				   .interval = heartbeat_interval(to)};
-	int64_t now = clock_us(), confirmed = board_confirmed_us();
+	int64_t now = clock_us(), confirmed = cache_confirmed_us();
 
 	g_strlcpy(b.name, cfg->instance, sizeof b.name);
 	g_strlcpy(b.ip, cfg->ip, sizeof b.ip);
 	g_strlcpy(b.front, cfg->front_text, sizeof b.front);
-	b.revs = board_revs();
-	b.confirmed_ago_us = confirmed == BOARD_NEVER ? -1 : now - confirmed;
+	b.revs = cache_revs();
+	b.confirmed_ago_us = confirmed == CACHE_NEVER ? -1 : now - confirmed;
 	b.stamp_us = now;
 	if (echo && to->last_seen_us) {
 		b.echo_us = to->hb.stamp_us;
@@ -201,7 +201,7 @@
 int mesh_is_current(void)
 {
 	if (!unsynced_since_us) return 1;
-	if (board_confirmed_us() >= unsynced_since_us ||
+	if (cache_confirmed_us() >= unsynced_since_us ||
 	    clock_us() - unsynced_since_us >= RESUME_TIMEOUT_US)
 		unsynced_since_us = 0;
 	return !unsynced_since_us;
--- a/src/fleet/mesh_confirm.c
+++ b/src/fleet/mesh_confirm.c
@@ -12,7 +12,7 @@
 static void apply_confirmation(const struct mesh_heartbeat *b)
 {
 	if (!b->echo_us || b->confirmed_ago_us < 0) return;
-	board_confirm(b->revs.conf, b->echo_us + b->echo_held_us - b->confirmed_ago_us);
+	cache_confirm(b->revs.conf, b->echo_us + b->echo_held_us - b->confirmed_ago_us);
 }
 
 void mesh_check_lists(struct member *m)
--- a/src/fleet/mesh_fetch.c
+++ b/src/fleet/mesh_fetch.c
@@ -31,9 +31,9 @@
 /* While fetching, detects a stall; else starts the next fetch. */
 static struct ev_timer timer;
 
-static int is_newer(struct board_revs revs)
+static int is_newer(struct cache_revs revs)
 {
-	struct board_revs mine = board_revs();
+	struct cache_revs mine = cache_revs();
 
 	return revs.conf > mine.conf || revs.backends > mine.backends;
 }
@@ -78,10 +78,10 @@
 static int lacks_only_backends(void)
 {
 	const GPtrArray *all = mesh_members();
-	struct board_revs mine = board_revs();
+	struct cache_revs mine = cache_revs();
 	uint32_t i;
 
-	if (!board_conf() || mine.backends) return 0;
+	if (!cache_conf() || mine.backends) return 0;
 	for (i = 0; i < all->len; i++) {
 		const struct member *m = g_ptr_array_index(all, i);
 
@@ -178,7 +178,7 @@
 {
 	fetch->from->fetch_after_us = clock_us() + REFUSED_BACKOFF_US;
 	/* The report was wrong, or adds nothing to the source's own heartbeat. */
-	fetch->from->reported_revs = (struct board_revs){0};
+	fetch->from->reported_revs = (struct cache_revs){0};
 	drop_fetch();
 	schedule_next();
 }
@@ -191,11 +191,11 @@
 }
 
 /* Requests the configuration first, alone: it is small as a rule, and any source will do. */
-static struct board_revs wanted_after(void)
+static struct cache_revs wanted_after(void)
 {
-	struct board_revs after = board_revs();
+	struct cache_revs after = cache_revs();
 
-	if (!board_conf()) after.backends = NOTHING_NEWER;
+	if (!cache_conf()) after.backends = NOTHING_NEWER;
 	return after;
 }
 
@@ -285,7 +285,7 @@
 	ev_in(&timer, g_random_int_range(0, spread));
 }
 
-void mesh_fetch_add_holder(struct member *m, struct board_revs held)
+void mesh_fetch_add_holder(struct member *m, struct cache_revs held)
 {
 	m->reported_revs = held;
 }
--- a/src/fleet/mesh_in.c
+++ b/src/fleet/mesh_in.c
@@ -20,7 +20,7 @@
 
 static int handle_fetch(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs after;
+	struct cache_revs after;
 
 	if (mesh_read_revs(a, &after)) return -EBADMSG;
 	return mesh_serve(in, after, a->size > 3 ? (uint32_t)mesh_int(&a->ptr[3]) : 0);
@@ -30,7 +30,7 @@
  * store. */
 static int handle_fetch_legacy(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs after;
+	struct cache_revs after;
 	GString *out;
 
 	if (mesh_read_revs(a, &after)) return -EBADMSG;
@@ -43,7 +43,7 @@
 }
 
 /* Records what m has before its next heartbeat reports it. */
-static void note_revs(struct member *m, struct board_revs r)
+static void note_revs(struct member *m, struct cache_revs r)
 {
 	m->hb.revs.conf = MAX(m->hb.revs.conf, r.conf);
 	m->hb.revs.backends = MAX(m->hb.revs.backends, r.backends);
@@ -53,7 +53,7 @@
  * (complete_to), as its newest item may have changed again since. Earlier releases don't, and
  * their newest item counts. */
 struct frame_revs {
-	struct board_revs newest;
+	struct cache_revs newest;
 	uint64_t complete_to;
 };
 
@@ -68,7 +68,7 @@
 
 /* 0 or -EBADMSG. */
 static int apply_items(struct mesh_in *in, const msgpack_object_array *a,
-		       struct board_revs *upto)
+		       struct cache_revs *upto)
 {
 	struct frame_revs c = {0};
 	char key[512];
@@ -77,7 +77,7 @@
 
 	for (k = 3; k < a->size; k++) {
 		if (mesh_read_item(&a->ptr[k], &i, key, sizeof key)) return -EBADMSG;
-		board_apply(&i, in->from->hb.name);
+		cache_apply(&i, in->from->hb.name);
 		note_item(&c, &i);
 	}
 	if (c.complete_to) c.newest.backends = c.complete_to;
@@ -88,14 +88,14 @@
 
 static int handle_items(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs after, upto;
+	struct cache_revs after, upto;
 
 	if (mesh_read_revs(a, &after) || apply_items(in, a, &upto)) return -EBADMSG;
 	/* This has no effect while earlier changes are missing. */
-	board_take_news(after.backends, upto.backends);
-	watch_told(DL_CONF, after.conf, upto.conf);
+	cache_take_updates(after.backends, upto.backends);
+	watch_forwarded(DL_CONF, after.conf, upto.conf);
 	if (in->from->hb.backends_from && after.backends >= in->from->hb.backends_from)
-		watch_told(DL_BACKEND, after.backends, upto.backends);
+		watch_forwarded(DL_BACKEND, after.backends, upto.backends);
 	return 0;
 }
 
@@ -104,7 +104,7 @@
  * depend on it. */
 static int handle_updates(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs after, mine = board_revs();
+	struct cache_revs after, mine = cache_revs();
 
 	if (mesh_read_revs(a, &after)) return -EBADMSG;
 	if (mine.backends >= after.backends) {
@@ -144,7 +144,7 @@
 /* Stores who has a copy by the report of the instance that refused one. */
 static int handle_holders(struct mesh_in *in, const msgpack_object_array *a)
 {
-	struct board_revs held;
+	struct cache_revs held;
 	char ip[ENTRY_TEXT_MAX + 1];
 	struct member *m;
 	uint32_t k;
--- a/src/fleet/mesh_loads.c
+++ b/src/fleet/mesh_loads.c
@@ -17,22 +17,22 @@
 static void add_load(struct be_load *a, const struct be_load *b)
 {
 	a->runs += b->runs;
-	a->unread += b->unread;
-	a->held += b->held;
-	a->backup += b->backup;
+	a->prefill += b->prefill;
+	a->forecast += b->forecast;
+	a->replicas += b->replicas;
 	a->used += b->used;
-	a->bare += b->bare;
+	a->unreplicated += b->unreplicated;
 	a->inbound += b->inbound;
 }
 
 static void subtract_load(struct be_load *a, const struct be_load *b)
 {
 	a->runs -= b->runs;
-	a->unread -= b->unread;
-	a->held -= b->held;
-	a->backup -= b->backup;
+	a->prefill -= b->prefill;
+	a->forecast -= b->forecast;
+	a->replicas -= b->replicas;
 	a->used -= b->used;
-	a->bare -= b->bare;
+	a->unreplicated -= b->unreplicated;
 	a->inbound -= b->inbound;
 }
 
@@ -46,7 +46,7 @@
 
 struct peer_outcomes {
 	int64_t incarnation_ms;
-	struct be_ends outcomes;
+	struct be_outcomes outcomes;
 };
 
 static void detach_load(struct peer_load *t)
@@ -59,7 +59,7 @@
 
 static void attach_load(struct peer_load *t, struct be *b)
 {
-	if (!b || t->backend || !be_is_life(b, t->incarnation_ms)) return;
+	if (!b || t->backend || !be_is_incarnation(b, t->incarnation_ms)) return;
 	t->backend = be_ref(b);
 	add_load(&b->others, &t->load);
 }
@@ -82,7 +82,7 @@
 static void apply_outcomes(struct member *m, struct be *b, const struct mesh_load_row *r)
 {
 	struct peer_outcomes *prev = g_hash_table_lookup(m->outcomes, r->id);
-	struct be_ends delta = r->outcomes;
+	struct be_outcomes delta = r->outcomes;
 
 	if (!prev) {
 		prev = g_new0(struct peer_outcomes, 1);
@@ -95,7 +95,7 @@
 	}
 	prev->incarnation_ms = r->incarnation_ms;
 	prev->outcomes = r->outcomes;
-	be_heard(b, g_str_hash(m->ip) | 1, delta);
+	be_apply_outcomes(b, g_str_hash(m->ip) | 1, delta);
 }
 
 static void apply_row(struct member *m, const struct mesh_load_row *r)
@@ -148,8 +148,8 @@
 static void fill_row(struct mesh_load_row *row, const struct be *b)
 {
 	g_strlcpy(row->id, b->id, sizeof row->id);
-	row->incarnation_ms = b->born_ms;
-	row->outcomes = b->ends;
+	row->incarnation_ms = b->incarnation_ms;
+	row->outcomes = b->outcomes;
 	row->load = b->own;
 }
 
@@ -172,7 +172,7 @@
 		struct be *b = g_ptr_array_index(changed, changed->len - 1);
 
 		fill_row(&row[n++], b);
-		b->dirty = 0;
+		b->load_dirty = 0;
 		g_ptr_array_set_size(changed, (gint)changed->len - 1);
 	}
 	return n;
@@ -221,7 +221,7 @@
 		struct member *m = g_ptr_array_index(mesh_members(), i);
 		const struct be_load *l = peer_load_on(m, b);
 
-		if (l && order_of(m->hb.name, b) < mine) sum += l->bare;
+		if (l && order_of(m->hb.name, b) < mine) sum += l->unreplicated;
 	}
 	return sum;
 }
@@ -252,9 +252,9 @@
 
 void mesh_load_changed(struct be *b)
 {
-	if (!b->dirty) g_ptr_array_add(changed, be_ref(b));
-	b->dirty = 1;
-	be_note_use(b);
+	if (!b->load_dirty) g_ptr_array_add(changed, be_ref(b));
+	b->load_dirty = 1;
+	be_update_use(b);
 	mesh_mark_serving();
 	if (!send_timer.armed) ev_in(&send_timer, SEND_DELAY_US);
 }
--- a/src/fleet/mesh_tree.c
+++ b/src/fleet/mesh_tree.c
@@ -65,7 +65,7 @@
 	}
 }
 
-static void send_updates(struct board_revs base, int own_only)
+static void send_updates(struct cache_revs base, int own_only)
 {
 	GString *out = g_string_new(NULL);
 
@@ -99,7 +99,7 @@
 
 /* A large update is fetched by the instances that lack it, from any that has capacity for
  * them. */
-void mesh_publish(struct board_revs base)
+void mesh_publish(struct cache_revs base)
 {
 	if (mesh_items_size(base) > MESH_SMALL_MAX)
 		mesh_heartbeat_now();
@@ -107,9 +107,9 @@
 		send_updates(base, 0);
 }
 
-void mesh_forward(struct board_revs base)
+void mesh_forward(struct cache_revs base)
 {
-	struct board_revs mine = board_revs();
+	struct cache_revs mine = cache_revs();
 
 	if (!mesh_self_hub() || !base.backends) return;
 	if (mine.conf == base.conf && mine.backends == base.backends) return;
--- a/src/internal/mesh.h
+++ b/src/internal/mesh.h
@@ -4,7 +4,7 @@
 #ifndef SH_MESH_H
 #define SH_MESH_H
 #include "be.h"
-#include "board.h"
+#include "cache.h"
 #include "entry_cfg.h"
 #include <stdint.h>
 
@@ -30,7 +30,7 @@
 int mesh_self_hub(void);
 /* Publishes what is newer than base, which this instance just received from the store. Large
  * updates are only announced by a heartbeat, and fetched. */
-void mesh_publish(struct board_revs base);
+void mesh_publish(struct cache_revs base);
 /* Publishes changed items of backend servers on their own: the frame states nothing about other
  * changes. */
 void mesh_publish_items(const struct st_item *items, size_t n);
--- a/src/internal/mesh_impl.h
+++ b/src/internal/mesh_impl.h
@@ -1,7 +1,7 @@
 /* Private to src/fleet/mesh*.c. */
 #ifndef SH_MESH_IMPL_H
 #define SH_MESH_IMPL_H
-#include "board.h"
+#include "cache.h"
 #include "cn.h"
 #include "mesh.h"
 #include "mesh_topic.h"
@@ -17,7 +17,7 @@
 	int ready, draining, store_up, store_late;
 	int link_mbps; /* 0: not reported */
 	int serving;   /* it receives caller traffic, and needs the loads of others */
-	struct board_revs revs;
+	struct cache_revs revs;
 	int64_t confirmed_ago_us; /* age of the confirmation of its configuration; -1: none */
 	int64_t stamp_us;         /* clock of the sender */
 	int64_t echo_us;          /* last stamp_us received from the receiver; 0: none */
@@ -34,7 +34,7 @@
 	char id[ENTRY_TEXT_MAX + 1];
 	int64_t incarnation_ms; /* 0: not reported */
 	struct be_load load;
-	struct be_ends outcomes;
+	struct be_outcomes outcomes;
 };
 
 struct member {
@@ -53,7 +53,7 @@
 	int refused;            /* the last connection was refused; cleared by a heartbeat */
 	int64_t acked_us;       /* newest stamp of this instance that it has echoed */
 	int64_t fetch_after_us; /* it refused a copy, and is not asked again before */
-	struct board_revs reported_revs; /* of its lists, as another instance reported */
+	struct cache_revs reported_revs; /* of its lists, as another instance reported */
 	GHashTable *loads;               /* id -> struct peer_load */
 	GHashTable *outcomes;            /* id -> struct peer_outcomes */
 };
@@ -81,10 +81,10 @@
 void mesh_write_heartbeat(GString *out, const struct mesh_heartbeat *b);
 void mesh_write_loads(GString *out, const struct mesh_load_row *row, int n, int whole);
 /* dc: the hash of this instance's data centre. */
-void mesh_write_fetch(GString *out, struct board_revs after, uint32_t dc);
-void mesh_write_items(GString *out, struct board_revs after);
+void mesh_write_fetch(GString *out, struct cache_revs after, uint32_t dc);
+void mesh_write_items(GString *out, struct cache_revs after);
 /* The same items, sent unasked to instances that have all up to after. */
-void mesh_write_updates(GString *out, struct board_revs after);
+void mesh_write_updates(GString *out, struct cache_revs after);
 /* Writes up to max members, from a random one on, that have all that this instance has: those
  * of data centre dc if there are any (0: of any). */
 void mesh_write_holders(GString *out, int max, uint32_t dc);
@@ -96,7 +96,7 @@
  * copy. */
 #define MESH_SMALL_MAX 8192
 /* Approximate size of a frame with the items newer than after; 0: there are none. */
-size_t mesh_items_size(struct board_revs after);
+size_t mesh_items_size(struct cache_revs after);
 
 struct mesh_in { /* a connection that receives frames from another instance */
 	struct cn cn;
@@ -113,7 +113,7 @@
 /* mesh_read.c: malformed input gives -EBADMSG, except for an integer, which reads as 0. */
 int mesh_read_heartbeat(const msgpack_object_array *a, struct mesh_heartbeat *b);
 int mesh_read_load_row(const msgpack_object *o, struct mesh_load_row *r);
-int mesh_read_revs(const msgpack_object_array *a, struct board_revs *after);
+int mesh_read_revs(const msgpack_object_array *a, struct cache_revs *after);
 int mesh_read_item(const msgpack_object *o, struct st_item *i, char *key, size_t max);
 /* Link bandwidth, clamped to what machines have. */
 int mesh_mbps(const msgpack_object *o);
@@ -229,7 +229,7 @@
 void mesh_announce_death(const struct member *m);
 /* Updates arrived from another instance: forwards what is newer than base to the standby
  * instances that get updates from this hub. */
-void mesh_forward(struct board_revs base);
+void mesh_forward(struct cache_revs base);
 
 /* Forwards one item, which states nothing about others. */
 void mesh_forward_item(const struct st_item *item);
@@ -243,14 +243,14 @@
 /* Schedules a fetch if m has newer lists and no fetch is in progress. */
 void mesh_fetch_soon(const struct member *m);
 /* Another instance reported that m has the lists up to those revisions. */
-void mesh_fetch_add_holder(struct member *m, struct board_revs held);
+void mesh_fetch_add_holder(struct member *m, struct cache_revs held);
 /* m is about to be freed: a fetch from it is abandoned. */
 void mesh_fetch_forget(const struct member *m);
 
 /* mesh_serve.c */
 /* Sends the lists newer than after. 0; -EBUSY: too many copies are in progress; -ENOENT:
  * nothing is newer. */
-int mesh_serve(struct mesh_in *in, struct board_revs after, uint32_t dc);
+int mesh_serve(struct mesh_in *in, struct cache_revs after, uint32_t dc);
 /* The connection is about to be dropped. */
 void mesh_serve_end(struct mesh_in *in);
 
