--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -24,19 +24,20 @@
 
 #define ADDRESSES_MAX 64 /* in one answer of the directory */
 #define ADDRESSES_CANDIDATES \
-	4096         /* it is drawn from so many at most: the first that are known */
-#define TTL_PART 0.4 /* of the longest that callers keep an answer: changes are seen soon */
-#define TTL_HELD 3   /* some callers keep an answer so many times its life */
-#define DRAIN_END_US 400000 /* before the kill: what is left is ended properly */
-#define DRAIN_CLOSE_US \
-	1000000             /* after it, connections at rest are closed: callers know by then */
-#define CONF_HEAD_MAX 16384 /* limits of a request until the configuration tells them */
-#define CONF_BODY_MAX (4u << 20)
-#define CONF_HEAD_US 5000000
-#define CONF_IDLE_US 15000000
-#define INNER_IDLE_US 10000000 /* connections that ask for readiness, addresses and metrics */
-#define LEAVING_PART 0.9       /* of the time after which nothing may reach a leaving server */
-#define DRAINED_PART 0.5       /* the same of a drained data centre: word of it may come late */
+	4096          /* it is drawn from so many at most: the first that are known */
+#define TTL_PART 0.4  /* of the longest that callers keep an answer: changes are seen soon */
+#define TTL_OVERRUN 3 /* some callers keep an answer so many times its life */
+#define DRAIN_MARGIN_US 400000 /* before the kill: what is left is ended properly */
+#define DRAIN_CLOSE_IDLE_US \
+	1000000 /* after it, connections at rest are closed: callers know by then */
+#define DEFAULT_HEAD_MAX 16384 /* limits of a request until the configuration tells them */
+#define DEFAULT_BODY_MAX (4u << 20)
+#define DEFAULT_HEAD_US 5000000
+#define DEFAULT_IDLE_US 15000000
+#define INTERNAL_IDLE_US \
+	10000000         /* connections that ask for readiness, addresses and metrics */
+#define LEAVING_PART 0.9 /* of the time after which nothing may reach a leaving server */
+#define DRAINED_PART 0.5 /* the same of a drained data centre: word of it may come late */
 
 static struct entry_cfg *cfg;
 static struct hs_listener front, ready, directory, metrics;
@@ -44,8 +45,8 @@
 static int64_t drain_us;
 
 #define MEGABYTE (1u << 20)
-#define HELD_PART 4     /* of an instance's memory, for what callers have not taken yet */
-#define STATE_US 200000 /* how often readiness is worked out for other instances */
+#define BUFFER_DIVISOR 4 /* of an instance's memory, for what callers have not taken yet */
+#define STATE_INTERVAL_US 200000 /* how often readiness is worked out for other instances */
 
 static int64_t ttl_us(void)
 {
@@ -62,11 +63,11 @@
 	return !drain_us && board_conf() && be_all()->len && conf_is_fresh() && poison_known();
 }
 
-static void on_state(struct ev_timer *t)
+static void on_state_timer(struct ev_timer *t)
 {
-	ev_in(t, STATE_US);
+	ev_in(t, STATE_INTERVAL_US);
 	mesh_set_state(is_ready(), drain_us != 0);
-	if (drain_us && clock_us() - drain_us > DRAIN_CLOSE_US) hs_close_idle(&front);
+	if (drain_us && clock_us() - drain_us > DRAIN_CLOSE_IDLE_US) hs_close_idle(&front);
 }
 
 static void answer_ready(struct hs *h)
@@ -111,7 +112,7 @@
 	g_string_free(out, TRUE);
 }
 
-static void on_question(struct hs *h)
+static void on_internal_request(struct hs *h)
 {
 	switch (dl_question(&h->hp.head)) {
 	case DL_READY: answer_ready(h); return;
@@ -132,24 +133,25 @@
 
 static void on_conf(struct conf *c)
 {
-	front.limits.head_max = c->head_bytes ? c->head_bytes : CONF_HEAD_MAX;
-	front.limits.body_max = c->body_bytes ? c->body_bytes : CONF_BODY_MAX;
-	front.limits.head_us = c->head_us ? c->head_us : CONF_HEAD_US;
-	front.limits.idle_us = c->idle_us ? c->idle_us : CONF_IDLE_US;
+	front.limits.head_max = c->head_bytes ? c->head_bytes : DEFAULT_HEAD_MAX;
+	front.limits.body_max = c->body_bytes ? c->body_bytes : DEFAULT_BODY_MAX;
+	front.limits.head_us = c->head_us ? c->head_us : DEFAULT_HEAD_US;
+	front.limits.idle_us = c->idle_us ? c->idle_us : DEFAULT_IDLE_US;
 }
 
 static void init_listeners(void)
 {
-	struct hs_limits inner = {CONF_HEAD_MAX, CONF_HEAD_MAX, CONF_HEAD_US, INNER_IDLE_US};
+	struct hs_limits internal = {DEFAULT_HEAD_MAX, DEFAULT_HEAD_MAX, DEFAULT_HEAD_US,
+				     INTERNAL_IDLE_US};
 
-	front.limits =
-		(struct hs_limits){CONF_HEAD_MAX, CONF_BODY_MAX, CONF_HEAD_US, CONF_IDLE_US};
+	front.limits = (struct hs_limits){DEFAULT_HEAD_MAX, DEFAULT_BODY_MAX, DEFAULT_HEAD_US,
+					  DEFAULT_IDLE_US};
 	front.on_request = rq_on_request;
-	front.on_left = rq_on_left;
-	front.on_drain = rq_on_drain;
+	front.on_left = rq_on_caller_left;
+	front.on_drain = rq_on_writable;
 	front.on_bad = on_bad;
-	ready.limits = directory.limits = metrics.limits = inner;
-	ready.on_request = directory.on_request = on_question;
+	ready.limits = directory.limits = metrics.limits = internal;
+	ready.on_request = directory.on_request = on_internal_request;
 	metrics.on_request = metrics_on_request;
 	board_on_conf = on_conf;
 }
@@ -177,14 +179,14 @@
 	return rc;
 }
 
-static void on_wake(void)
+static void on_resumed(void)
 {
 	jlog_end(jlog_begin("main", "stood_still"));
-	rq_on_wake();
+	rq_on_resumed();
 	mesh_woke();
 }
 
-static void set_needs(const struct entry_cfg *c)
+static void set_limits(const struct entry_cfg *c)
 {
 	be_need_us = c->drain_us * LEAVING_PART;
 	be_drain_need_us = c->drain_dc_us * DRAINED_PART;
@@ -197,22 +199,24 @@
 
 	cfg = c;
 	for (i = 0; i < c->ndcs; i++) be_set_region(c->dc[i].name, c->dc[i].region);
-	set_needs(c);
+	set_limits(c);
 	pace_start();
 	leave_start();
 	limit_start();
 	ro_start(c);
 	be_on_leaving = rq_on_leaving;
-	be_on_ended = rq_on_ended;
+	be_on_ended = rq_on_incarnation_over;
 	probe_on_report = rq_on_report;
 	be_is_instance = mesh_is_instance;
-	ev_on_wake = on_wake;
+	ev_on_wake = on_resumed;
 	init_listeners();
 	board_init();
 	rq_init(c);
-	rq_poison_start(c->first_start);
+	rq_quarantine_start(c->first_start);
 	rc = listen_all(e);
-	if (!rc) hs_hold_start(&front, (size_t)c->memory_mb * MEGABYTE / HELD_PART, rq_on_slow);
+	if (!rc)
+		hs_hold_start(&front, (size_t)c->memory_mb * MEGABYTE / BUFFER_DIVISOR,
+			      rq_on_slow_reader);
 	if (rc) return rc;
 	rc = mesh_start(c);
 	if (rc)
@@ -222,7 +226,7 @@
 	watch_start(c->first_start);
 	roster_start(c);
 	probe_start();
-	state_timer.fire = on_state;
+	state_timer.fire = on_state_timer;
 	ev_in(&state_timer, 0);
 	return 0;
 }
@@ -244,7 +248,7 @@
 	cfg->retry_ratio = c->retry_ratio;
 	cfg->retry_slack = c->retry_slack;
 	cfg->retry_window_us = c->retry_window_us;
-	set_needs(c);
+	set_limits(c);
 	jlog_end(g);
 }
 
@@ -256,11 +260,11 @@
 	drain_us = clock_us();
 	front.closing = 1;
 	mesh_set_state(0, 1);
-	rq_drain(drain_us + cfg->grace_us - DRAIN_END_US);
+	rq_drain(drain_us + cfg->grace_us - DRAIN_MARGIN_US);
 	met_set(MET_G_DRAINING, 1);
 	roster_leave();
 	g = jlog_begin("main", "draining");
-	jlog_int(g, "open_requests", rq_open());
+	jlog_int(g, "open_requests", rq_open_count());
 	jlog_end(g);
 }
 
@@ -269,10 +273,10 @@
 	int64_t now = clock_us(), lapsed, last;
 
 	if (!drain_us) return 0;
-	lapsed = drain_us + ttl_us() * TTL_HELD;
-	last = drain_us + cfg->grace_us - DRAIN_END_US;
+	lapsed = drain_us + ttl_us() * TTL_OVERRUN;
+	last = drain_us + cfg->grace_us - DRAIN_MARGIN_US;
 	if (now >= last) return 1;
-	return now >= lapsed && !rq_open();
+	return now >= lapsed && !rq_open_count();
 }
 
 void entry_stop(void)
--- a/src/entry/main.c
+++ b/src/entry/main.c
@@ -10,9 +10,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SIGNAL_LOOK_US 50000 /* how often flags set by signals are looked at */
+#define SIGNAL_POLL_US 50000 /* how often flags set by signals are looked at */
 
-static volatile sig_atomic_t asked_to_drain, asked_to_reload;
+static volatile sig_atomic_t drain_requested, reload_requested;
 static volatile int stopped;
 static const char *settings_path;
 static struct entry_cfg cfg;
@@ -26,13 +26,13 @@
 static void on_term(int sig)
 {
 	(void)sig;
-	asked_to_drain = 1;
+	drain_requested = 1;
 }
 
 static void on_hup(int sig)
 {
 	(void)sig;
-	asked_to_reload = 1;
+	reload_requested = 1;
 }
 
 /* What is being read is read on: settings, too. */
@@ -62,14 +62,14 @@
 	jlog_end(g);
 }
 
-static void on_signal_look(struct ev_timer *t)
+static void on_signal_timer(struct ev_timer *t)
 {
-	ev_in(t, SIGNAL_LOOK_US);
-	if (asked_to_reload) {
-		asked_to_reload = 0;
+	ev_in(t, SIGNAL_POLL_US);
+	if (reload_requested) {
+		reload_requested = 0;
 		reload();
 	}
-	if (asked_to_drain) entry_drain();
+	if (drain_requested) entry_drain();
 	if (entry_drained()) stopped = 1;
 }
 
@@ -110,7 +110,7 @@
 		fprintf(stderr, "saddlehead-entry: no thread or event loop can be had\n");
 		return 1;
 	}
-	if (asked_to_drain) {
+	if (drain_requested) {
 		log_stopped("asked to while it read its settings");
 		return 0;
 	}
@@ -122,8 +122,8 @@
 	jlog_str(g, "front", cfg.front_text);
 	jlog_str(g, "data_centre", cfg.data_centre);
 	jlog_end(g);
-	signal_timer.fire = on_signal_look;
-	ev_in(&signal_timer, SIGNAL_LOOK_US);
+	signal_timer.fire = on_signal_timer;
+	ev_in(&signal_timer, SIGNAL_POLL_US);
 	ev_run(&stopped);
 	entry_stop();
 	log_stopped(NULL);
--- a/src/entry/metrics.c
+++ b/src/entry/metrics.c
@@ -7,7 +7,7 @@
 #include <errno.h>
 #include <string.h>
 
-#define BLOCKED "/blocked"
+#define QUARANTINE_PATH "/blocked"
 
 static void answer_metrics(struct hs *h)
 {
@@ -28,7 +28,7 @@
 	g_string_free(out, TRUE);
 }
 
-static void answer_blocked(struct hs *h)
+static void answer_quarantined(struct hs *h)
 {
 	GString *out = g_string_new(NULL);
 
@@ -37,7 +37,7 @@
 	g_string_free(out, TRUE);
 }
 
-static void clear(struct hs *h, const char *fingerprint)
+static void lift_quarantine(struct hs *h, const char *fingerprint)
 {
 	switch (poison_clear(fingerprint)) {
 	case 0: hs_answer(h, 204, NULL, "", 0); return;
@@ -51,10 +51,10 @@
 	const char *target = hp_target(&h->hp.head);
 	int deletes = h->hp.head.method == HTTP_DELETE;
 
-	if (deletes && g_str_has_prefix(target, BLOCKED "/"))
-		clear(h, target + strlen(BLOCKED "/"));
-	else if (!strcmp(target, BLOCKED))
-		answer_blocked(h);
+	if (deletes && g_str_has_prefix(target, QUARANTINE_PATH "/"))
+		lift_quarantine(h, target + strlen(QUARANTINE_PATH "/"));
+	else if (!strcmp(target, QUARANTINE_PATH))
+		answer_quarantined(h);
 	else
 		answer_metrics(h);
 }
--- a/src/internal/evs.h
+++ b/src/internal/evs.h
@@ -8,14 +8,14 @@
 #define EVS_EVENT_MAX 262144 /* bytes: a thousand times an event of today */
 
 struct evs {
-	GString *part; /* an event that is not whole yet */
+	GString *partial; /* an event that is not whole yet */
 };
 
 /* Where a stream stands, over all the engines that it came from. */
 struct evs_seen {
 	char id[EVS_ID_MAX + 1]; /* of the last event passed on; empty: none */
 	uint64_t count;
-	uint64_t repeated; /* dropped: the reader has them */
+	uint64_t duplicates; /* dropped: the reader has them */
 };
 
 void evs_init(struct evs *s);
--- a/src/relay/evs.c
+++ b/src/relay/evs.c
@@ -5,13 +5,13 @@
 
 void evs_init(struct evs *s)
 {
-	s->part = g_string_new(NULL);
+	s->partial = g_string_new(NULL);
 }
 
 void evs_free(struct evs *s)
 {
-	if (s->part) g_string_free(s->part, TRUE);
-	s->part = NULL;
+	if (s->partial) g_string_free(s->partial, TRUE);
+	s->partial = NULL;
 }
 
 /* Length of the first whole event, its blank line included; 0: none yet. */
@@ -70,13 +70,13 @@
 	return new <= old;
 }
 
-static void take(struct evs_seen *seen, const char *p, size_t n, GString *out)
+static void accept_event(struct evs_seen *seen, const char *p, size_t n, GString *out)
 {
 	char id[EVS_ID_MAX + 1];
 
 	if (event_id(p, n, id)) {
 		if (was_seen(seen, id)) {
-			seen->repeated++;
+			seen->duplicates++;
 			return;
 		}
 		g_strlcpy(seen->id, id, sizeof seen->id);
@@ -89,11 +89,11 @@
 {
 	size_t off = 0, len;
 
-	g_string_append_len(s->part, p, n);
-	while ((len = event_length(s->part->str + off, s->part->len - off))) {
-		take(seen, s->part->str + off, len, out);
+	g_string_append_len(s->partial, p, n);
+	while ((len = event_length(s->partial->str + off, s->partial->len - off))) {
+		accept_event(seen, s->partial->str + off, len, out);
 		off += len;
 	}
-	g_string_erase(s->part, 0, off);
-	return s->part->len > EVS_EVENT_MAX ? -EMSGSIZE : 0;
+	g_string_erase(s->partial, 0, off);
+	return s->partial->len > EVS_EVENT_MAX ? -EMSGSIZE : 0;
 }
--- a/src/relay/rq.c
+++ b/src/relay/rq.c
@@ -15,12 +15,12 @@
 	rq_all = g_ptr_array_new();
 }
 
-uint32_t rq_open(void)
+uint32_t rq_open_count(void)
 {
 	return rq_all->len;
 }
 
-static void rq_log(const struct rq *r, const char *outcome, const char *detail)
+static void log_end(const struct rq *r, const char *outcome, const char *detail)
 {
 	int64_t now = clock_us();
 	GString *g = jlog_begin("relay", "request_ended");
@@ -32,15 +32,15 @@
 	jlog_str(g, "route", r->route ? r->route->name : NULL);
 	jlog_str(g, "service", r->service ? r->service->name : NULL);
 	jlog_str(g, "workspace", r->group ? r->group->name : NULL);
-	jlog_str(g, "backend", r->leg ? r->leg->be->id : NULL);
+	jlog_str(g, "backend", r->attempt ? r->attempt->be->id : NULL);
 	jlog_int(g, "sends", r->sends);
 	if (r->runs) jlog_int(g, "broken_runs", r->runs);
 	jlog_int(g, "took_ms", (now - r->began_us) / 1000);
 	if (r->first_us) jlog_int(g, "first_ms", (r->first_us - r->began_us) / 1000);
 	if (r->seen.count) jlog_int(g, "events", r->seen.count);
-	if (r->gap_us) {
-		jlog_int(g, "longest_pause_ms", r->gap_us / 1000);
-		jlog_int(g, "pause_ended_ms", (r->gap_at_us - r->began_us) / 1000);
+	if (r->max_pause_us) {
+		jlog_int(g, "longest_pause_ms", r->max_pause_us / 1000);
+		jlog_int(g, "pause_ended_ms", (r->max_pause_end_us - r->began_us) / 1000);
 	}
 	if (r->conf) jlog_int(g, "configuration", r->conf->version);
 	if (board_confirmed_us() != BOARD_NEVER)
@@ -56,20 +56,20 @@
 	last->index = r->index;
 	g_ptr_array_set_size(rq_all, rq_all->len - 1);
 	met_set(MET_G_REQUESTS, rq_all->len);
-	rq_stop_waiting(r);
+	rq_queue_leave(r);
 	rq_stop_holding(r);
-	move_stop(r);
+	move_reset(r);
 	ev_stop(&r->end_timer);
 	ev_stop(&r->stall_timer);
-	leg_free(r->leg);
-	leg_free(r->next);
+	att_free(r->attempt);
+	att_free(r->next);
 	if (r->answer) g_string_free(r->answer, TRUE);
 	conf_unref(r->conf);
 	ev_free_later(r);
 }
 
 /* The connection may begin with its next request at once: r must be gone by then. */
-static struct hs *let_go(struct rq *r)
+static struct hs *detach(struct rq *r)
 {
 	struct hs *h = r->h;
 
@@ -79,13 +79,13 @@
 }
 
 /* why: in words, or NULL. */
-static void answer_own(struct rq *r, int64_t retry_us, const char *code, const char *why)
+static void answer_error(struct rq *r, int64_t retry_us, const char *code, const char *why)
 {
 	char *fields = dl_retry_fields(r->in.id, retry_us);
 	char *body = why ? g_strdup_printf("{\"code\":\"%s\",\"message\":\"%s\"}\n", code, why)
 			 : g_strdup_printf("{\"code\":\"%s\"}\n", code);
 	int status = r->status;
-	struct hs *h = let_go(r);
+	struct hs *h = detach(r);
 
 	hs_answer(h, status, fields, body, strlen(body));
 	g_free(fields);
@@ -100,16 +100,16 @@
 	}
 	met_refused(why);
 	r->status = refusal_info(why)->status;
-	rq_log(r, refusal_info(why)->code, detail);
+	log_end(r, refusal_info(why)->code, detail);
 	if (retry_us) retry_us += g_random_int_range(0, RETRY_SPREAD_US);
-	answer_own(r, retry_us, refusal_info(why)->code, NULL);
+	answer_error(r, retry_us, refusal_info(why)->code, NULL);
 }
 
 /* A server that was connected to may have read it. */
 static int may_have_run(const struct rq *r)
 {
 	if (r->runs || r->head_sent) return 1;
-	return r->leg && r->leg->hx && r->leg->hx->up;
+	return r->attempt && r->attempt->hx && r->attempt->hx->up;
 }
 
 void rq_fail(struct rq *r, enum refusal why, const char *detail)
@@ -120,32 +120,32 @@
 	}
 	met_refused(why);
 	if (r->head_sent) {
-		rq_log(r, "broken_off", detail);
-		hs_abort(let_go(r));
+		log_end(r, "broken_off", detail);
+		hs_abort(detach(r));
 		return;
 	}
 	r->status = why == REF_DEADLINE ? 504 : 502;
-	rq_log(r, refusal_info(why)->code, detail);
-	answer_own(r, 0, refusal_info(why)->code, NULL);
+	log_end(r, refusal_info(why)->code, detail);
+	answer_error(r, 0, refusal_info(why)->code, NULL);
 }
 
-void rq_block(struct rq *r)
+void rq_refuse_quarantined(struct rq *r)
 {
 	const struct refusal_info *info = refusal_info(REF_CRASHES);
 	static const char why[] = "backend servers ended while it ran; it is not run again";
 
 	met_refused(REF_CRASHES);
 	if (r->head_sent) {
-		rq_log(r, "broken_off", why);
-		hs_abort(let_go(r));
+		log_end(r, "broken_off", why);
+		hs_abort(detach(r));
 		return;
 	}
 	r->status = info->status;
-	rq_log(r, info->code, why);
-	answer_own(r, 0, info->code, why);
+	log_end(r, info->code, why);
+	answer_error(r, 0, info->code, why);
 }
 
-static void observe(struct rq *r)
+static void observe_first_token(struct rq *r)
 {
 	if (!r->first_us || !r->group) return;
 	met_observe(met_group(r->group->name), MET_H_FIRST_TOKEN, r->first_us - r->began_us);
@@ -159,13 +159,13 @@
 	r->first_us = clock_us();
 	r->status = head->status;
 	met_add(MET_ANSWERED, 1);
-	rq_lengths(r)->answers++;
-	observe(r);
-	rq_log(r, "answered", NULL);
+	rq_length_stats(r)->answers++;
+	observe_first_token(r);
+	log_end(r, "answered", NULL);
 	dl_write_head(out, head, r->answer->len, hs_keeps(h));
 	if (h->hp.head.method != HTTP_HEAD)
 		g_string_append_len(out, r->answer->str, r->answer->len);
-	let_go(r);
+	detach(r);
 	hs_write(h, out->str, out->len);
 	g_string_free(out, TRUE);
 	hs_finish(h);
@@ -176,55 +176,55 @@
 	struct hs *h;
 
 	met_add(MET_ANSWERED, 1);
-	rq_lengths(r)->answers++;
-	observe(r);
-	length_observe(rq_lengths(r), rq_made(r), r->in.output_hint);
-	length_observe_pace(rq_lengths(r), rq_made(r), r->event_us - r->first_us);
-	rq_log(r, "answered", NULL);
-	h = let_go(r);
+	rq_length_stats(r)->answers++;
+	observe_first_token(r);
+	length_observe(rq_length_stats(r), rq_tokens_made(r), r->in.output_hint);
+	length_observe_pace(rq_length_stats(r), rq_tokens_made(r), r->event_us - r->first_us);
+	log_end(r, "answered", NULL);
+	h = detach(r);
 	hs_write(h, "0\r\n\r\n", 5);
 	hs_finish(h);
 }
 
-int rq_repeatable(const struct rq *r)
+int rq_retryable(const struct rq *r)
 {
 	if (r->route->kind == CONF_STREAM) return r->route->resumable;
 	return r->route->kind == CONF_SAFE;
 }
 
-void rq_on_left(struct hs *h)
+void rq_on_caller_left(struct hs *h)
 {
 	struct rq *r = h->user;
 
 	if (!r) return;
 	met_add(MET_CALLER_LEFT, 1);
-	rq_log(r, "caller_left", NULL);
-	let_go(r);
+	log_end(r, "caller_left", NULL);
+	detach(r);
 }
 
-void rq_on_slow(struct hs *h)
+void rq_on_slow_reader(struct hs *h)
 {
 	struct rq *r = h->user;
 
 	met_refused(REF_SLOW_READER);
 	if (r) {
-		rq_log(r, refusal_info(REF_SLOW_READER)->code, "memory is short");
-		let_go(r);
+		log_end(r, refusal_info(REF_SLOW_READER)->code, "memory is short");
+		detach(r);
 	}
 	hs_abort(h);
 }
 
-void rq_on_drain(struct hs *h)
+void rq_on_writable(struct hs *h)
 {
 	struct rq *r = h->user;
 
-	if (r && r->leg && r->leg->hx) hx_pause(r->leg->hx, 0);
+	if (r && r->attempt && r->attempt->hx) hx_pause(r->attempt->hx, 0);
 }
 
-static void move_elsewhere(struct rq *r)
+static void restart_move(struct rq *r)
 {
-	move_stop(r);
-	if (r->leg && be_leaves(r->leg->be)) move_begin(r);
+	move_reset(r);
+	if (r->attempt && be_leaves(r->attempt->be)) move_begin(r);
 }
 
 void rq_on_leaving(struct be *b)
@@ -236,27 +236,27 @@
 
 		if (i >= rq_all->len) continue; /* some ended meanwhile */
 		r = g_ptr_array_index(rq_all, i);
-		if (!r->leg) continue;
-		if (r->leg->backup == b) leg_drop_backup(r->leg);
-		if (r->leg->be == b)
+		if (!r->attempt) continue;
+		if (r->attempt->replica == b) att_drop_replica(r->attempt);
+		if (r->attempt->be == b)
 			move_begin(r);
-		else if (r->move.target == b && r->move.state == MOVE_COPY)
-			move_elsewhere(r);
+		else if (r->move.target == b && r->move.state == MOVE_COPYING)
+			restart_move(r);
 	}
 }
 
 /* Where b is what r's memory is copied or moved to. */
-static void leave_target(struct rq *r, const struct be *b)
+static void abandon_target(struct rq *r, const struct be *b)
 {
-	if (r->leg && r->leg->backup == b) leg_drop_backup(r->leg);
+	if (r->attempt && r->attempt->replica == b) att_drop_replica(r->attempt);
 	if (r->next && r->next->be == b) {
-		leg_server_ended(r->next);
+		att_server_gone(r->next);
 		return;
 	}
-	if (r->move.target == b && r->move.state != MOVE_NONE) move_elsewhere(r);
+	if (r->move.target == b && r->move.state != MOVE_NONE) restart_move(r);
 }
 
-void rq_on_ended(struct be *b)
+void rq_on_incarnation_over(struct be *b)
 {
 	uint32_t i;
 
@@ -265,11 +265,12 @@
 
 		if (i >= rq_all->len) continue; /* some ended meanwhile */
 		r = g_ptr_array_index(rq_all, i);
-		leave_target(r, b);
+		abandon_target(r, b);
 		if (i >= rq_all->len || g_ptr_array_index(rq_all, i) != r) continue;
-		if (r->leg && r->leg->be == b && r->leg->hx) leg_server_ended(r->leg);
+		if (r->attempt && r->attempt->be == b && r->attempt->hx)
+			att_server_gone(r->attempt);
 	}
-	leg_note_life_over(b);
+	rq_note_incarnation_over(b);
 }
 
 void rq_abort_all(void)
--- a/src/relay/rq_answer.c
+++ b/src/relay/rq_answer.c
@@ -8,10 +8,11 @@
 #include <string.h>
 
 #define ANSWER_MAX (4u << 20) /* bytes of a plain answer: a thousand times one of today */
-#define RECOUNT_EVENTS 32 /* a stream's memory is told anew after so many: a percent of it */
+#define RECOUNT_INTERVAL 32   /* a stream's memory is told anew after so many: a percent of it \
+			       */
 
 /* These statuses promise that the request has not run. */
-static int promises(int status)
+static int promises_not_run(int status)
 {
 	return status == 503 || status == 429 || status == 408;
 }
@@ -21,30 +22,30 @@
 	return x->hp.head.status / 100 == 2;
 }
 
-int leg_is_stream(const struct leg *l, const struct hx *x)
+int att_is_stream(const struct attempt *att, const struct hx *x)
 {
-	return l->rq->route->kind == CONF_STREAM && success(x);
+	return att->rq->route->kind == CONF_STREAM && success(x);
 }
 
-void leg_on_up(struct hx *x)
+void att_on_up(struct hx *x)
 {
-	struct leg *l = x->user;
+	struct attempt *att = x->user;
 
-	rq_note_reached(l);
-	if (l == l->rq->next) move_reached(l->rq);
+	att_note_reached(att);
+	if (att == att->rq->next) move_next_reached(att->rq);
 }
 
-int leg_on_head(struct hx *x)
+int att_on_head(struct hx *x)
 {
-	struct leg *l = x->user;
-	struct rq *r = l->rq;
+	struct attempt *att = x->user;
+	struct rq *r = att->rq;
 	struct dl_answer a;
 
 	dl_read_answer(&x->hp.head, &a);
 	if (a.not_run) {
-		l->not_run = 1;
+		att->not_run = 1;
 		if (x->hp.head.status == 421)
-			leave_said(l->be, "another incarnation answers at its address");
+			leave_said(att->be, "another incarnation answers at its address");
 		return -ECANCELED;
 	}
 	if (!a.id || strcmp(a.id, r->in.id)) {
@@ -52,12 +53,12 @@
 		return -EBADMSG;
 	}
 	if (success(x) && !a.sound) return -EBADMSG;
-	if (promises(x->hp.head.status)) return -EPROTO;
-	l->answered = 1;
-	if (l == r->next) {
-		if (!leg_is_stream(l, x)) return -EPROTO;
-		move_answered(r);
-	} else if (!leg_is_stream(l, x)) {
+	if (promises_not_run(x->hp.head.status)) return -EPROTO;
+	att->answered = 1;
+	if (att == r->next) {
+		if (!att_is_stream(att, x)) return -EPROTO;
+		move_next_answered(r);
+	} else if (!att_is_stream(att, x)) {
 		if (r->answer) g_string_free(r->answer, TRUE);
 		r->answer = g_string_new(NULL);
 	}
@@ -91,15 +92,15 @@
 	r->first_us = clock_us();
 }
 
-static void pass_on(struct leg *l, const struct hp_head *head, const char *p, size_t n)
+static void forward(struct attempt *att, const struct hp_head *head, const char *p, size_t n)
 {
-	struct rq *r = l->rq;
+	struct rq *r = att->rq;
 
 	write_stream_head(r, head);
 	write_chunk(r, p, n);
-	if (l->hx && !hs_may_hold(r->h)) {
+	if (att->hx && !hs_may_hold(r->h)) {
 		met_add(MET_PAUSES, 1);
-		hx_pause(l->hx, 1);
+		hx_pause(att->hx, 1);
 	}
 }
 
@@ -107,61 +108,63 @@
 {
 	int64_t now = clock_us();
 
-	if (r->first_us && now - r->event_us > r->gap_us) {
-		r->gap_us = now - r->event_us;
-		r->gap_at_us = now;
+	if (r->first_us && now - r->event_us > r->max_pause_us) {
+		r->max_pause_us = now - r->event_us;
+		r->max_pause_end_us = now;
 	}
 	r->event_us = now;
 	r->stalls = 0;
 }
 
-static int on_events(struct leg *l, struct hx *x, const char *p, size_t n)
+static int on_events(struct attempt *att, struct hx *x, const char *p, size_t n)
 {
-	struct rq *r = l->rq;
+	struct rq *r = att->rq;
 	GString *out = g_string_sized_new(n + 64);
-	int rc = evs_feed(&l->evs, &r->seen, p, n, out);
+	int rc = evs_feed(&att->evs, &r->seen, p, n, out);
 
 	if (out->len) {
 		note_event(r);
-		pass_on(l, &x->hp.head, out->str, out->len);
+		forward(att, &x->hp.head, out->str, out->len);
 	}
 	g_string_free(out, TRUE);
 	if (rc || !r->event_us) return rc;
-	if (r->seen.count - l->recounted >= RECOUNT_EVENTS) {
-		l->recounted = r->seen.count;
-		leg_recount(l);
+	if (r->seen.count - att->recounted >= RECOUNT_INTERVAL) {
+		att->recounted = r->seen.count;
+		att_recount(att);
 	}
-	if (!l->first_us) {
-		l->first_us = r->event_us;
-		if (l->reading) length_observe_start(rq_lengths(r), l->first_us - l->sent_us);
-		leg_read(l);
-		leg_recount(l);
-		be_succeeded(l->be, 0);
-		leg_tell_version(l,
-				 RO_WELL); /* its end may come when it is too late to judge */
-		if (be_leaves(r->leg->be)) move_begin(r);
+	if (!att->first_us) {
+		att->first_us = r->event_us;
+		if (att->prompt_unread)
+			length_observe_start(rq_length_stats(r), att->first_us - att->sent_us);
+		att_prompt_read(att);
+		att_recount(att);
+		be_succeeded(att->be, 0);
+		att_report_outcome(att,
+				   RO_WELL); /* its end may come when it is too late to judge */
+		if (be_leaves(r->attempt->be)) move_begin(r);
 	}
-	move_go_on(r);
+	move_continue(r);
 	return 0;
 }
 
-int leg_on_body(struct hx *x, const char *p, size_t n)
+int att_on_body(struct hx *x, const char *p, size_t n)
 {
-	struct leg *l = x->user;
+	struct attempt *att = x->user;
 
-	if (leg_is_stream(l, x)) return on_events(l, x, p, n);
-	if (l->rq->answer->len + n > ANSWER_MAX) return -EMSGSIZE;
-	g_string_append_len(l->rq->answer, p, n);
+	if (att_is_stream(att, x)) return on_events(att, x, p, n);
+	if (att->rq->answer->len + n > ANSWER_MAX) return -EMSGSIZE;
+	g_string_append_len(att->rq->answer, p, n);
 	return 0;
 }
 
-void leg_stream_done(struct leg *l, const struct hp_head *head)
+void att_stream_done(struct attempt *att, const struct hp_head *head)
 {
-	struct rq *r = l->rq;
+	struct rq *r = att->rq;
 
-	l->copy_freed = 1;
-	rq_came_through(r);
-	if (l->evs.part->len) pass_on(l, head, l->evs.part->str, l->evs.part->len);
+	att->replica_freed = 1;
+	rq_note_completed_run(r);
+	if (att->evs.partial->len)
+		forward(att, head, att->evs.partial->str, att->evs.partial->len);
 	write_stream_head(r, head);
 	rq_stream_end(r);
 }
--- a/src/relay/rq_begin.c
+++ b/src/relay/rq_begin.c
@@ -4,29 +4,29 @@
 #include "rq_impl.h"
 #include <errno.h>
 
-#define DRAIN_TAKE_US 2000000 /* callers learn of a drain within about so long */
+#define DRAIN_ACCEPT_US 2000000 /* callers learn of a drain within about so long */
 #define DRAIN_MARGIN 2 /* nobody knows a length: one in six is twice as long as expected */
 #define RETRY_DRAIN_US 50000 /* another instance may serve it at once */
 
-#define HELD_LOOK_US 10000 /* how often those that are held are looked at */
+#define HELD_POLL_US 10000 /* how often those that are held are looked at */
 
 static GPtrArray *held; /* of struct rq: came before verdicts were heard */
 static struct ev_timer held_timer;
 static int64_t drain_began_us, drain_until_us; /* 0: no drain */
 
-int rq_confirmed(const struct rq *r)
+int rq_conf_is_confirmed(const struct rq *r)
 {
 	if ((r->route && r->route->open) || !rq_cfg->fail_closed) return 1;
 	return clock_us() - board_confirmed_us() < rq_cfg->revoke_us;
 }
 
-int rq_key_known(const struct rq *r, const struct conf *c)
+int rq_key_is_valid(const struct rq *r, const struct conf *c)
 {
 	return r->route->open || !c->keyed || conf_group(c, r->in.key);
 }
 
 /* 0, or refuses r. */
-static int check(struct rq *r)
+static int check_request(struct rq *r)
 {
 	struct conf *c = board_conf();
 
@@ -41,7 +41,7 @@
 	r->conf = conf_ref(c);
 	r->route = conf_route(c, r->in.host, r->in.target);
 	/* Also what an old configuration does not know: a newer one may. */
-	if (!rq_confirmed(r)) {
+	if (!rq_conf_is_confirmed(r)) {
 		rq_refuse(r, REF_PLATFORM_DOWN, RETRY_SOON_US,
 			  "the configuration is not confirmed");
 		return -EAGAIN;
@@ -51,7 +51,7 @@
 		return -ENOENT;
 	}
 	if (!r->route->open) r->group = conf_group(c, r->in.key);
-	if (!rq_key_known(r, c)) {
+	if (!rq_key_is_valid(r, c)) {
 		rq_refuse(r, REF_UNAUTHORIZED, 0, "unknown key");
 		return -EACCES;
 	}
@@ -83,7 +83,7 @@
 static int outlasts_drain(const struct rq *r)
 {
 	if (!drain_until_us) return 0;
-	if (ev_now() - drain_began_us > DRAIN_TAKE_US) return r->end_us > drain_until_us;
+	if (ev_now() - drain_began_us > DRAIN_ACCEPT_US) return r->end_us > drain_until_us;
 	if (r->route->kind != CONF_STREAM) return 0;
 	return ev_now() + expected_us(r) * DRAIN_MARGIN > drain_until_us;
 }
@@ -113,12 +113,13 @@
 	return -ENOENT;
 }
 
-static void go_on(struct rq *r)
+static void admit(struct rq *r)
 {
 	r->job.prompt = r->in.prompt_tokens;
-	r->job.growth = length_remaining(rq_lengths(r), r->in.output_hint, r->in.output_max, 0);
+	r->job.growth =
+		length_remaining(rq_length_stats(r), r->in.output_hint, r->in.output_max, 0);
 	if (choose_service(r)) return;
-	rq_set_times(r);
+	rq_start_timers(r);
 	if (outlasts_drain(r)) {
 		rq_refuse(r, REF_DRAINING, RETRY_DRAIN_US,
 			  "this instance stops before it would end");
@@ -131,14 +132,14 @@
 static void on_held_timer(struct ev_timer *t)
 {
 	if (!poison_known()) {
-		ev_in(t, HELD_LOOK_US);
+		ev_in(t, HELD_POLL_US);
 		return;
 	}
 	while (held->len) {
 		struct rq *r = g_ptr_array_index(held, 0);
 
 		rq_stop_holding(r);
-		go_on(r);
+		admit(r);
 	}
 }
 
@@ -157,16 +158,16 @@
 	r->held = 1;
 	g_ptr_array_add(held, r);
 	held_timer.fire = on_held_timer;
-	if (!held_timer.armed) ev_in(&held_timer, HELD_LOOK_US);
+	if (!held_timer.armed) ev_in(&held_timer, HELD_POLL_US);
 }
 
 void rq_on_request(struct hs *h)
 {
 	struct rq *r = rq_new(h);
 
-	if (check(r)) return;
+	if (check_request(r)) return;
 	if (poison_known())
-		go_on(r);
+		admit(r);
 	else
 		hold(r);
 }
--- a/src/relay/rq_budget.c
+++ b/src/relay/rq_budget.c
@@ -5,7 +5,7 @@
 #include "rq_impl.h"
 
 /* Of what all may repeat, this instance's part. */
-static struct budget_rule rule(void)
+static struct budget_rule current_rule(void)
 {
 	double slack = rq_cfg->retry_slack * mesh_part(rq_cfg->retry_window_us);
 
@@ -27,48 +27,48 @@
 
 void rq_count_request(const struct rq *r)
 {
-	struct budget_rule now = rule();
+	struct budget_rule now = current_rule();
 
 	budget_request(budget_of(r->service->name), &now, ev_now());
 }
 
-static void count_repeat(const struct rq *r)
+static void count_retry(const struct rq *r)
 {
-	struct budget_rule now = rule();
+	struct budget_rule now = current_rule();
 
 	budget_spend(budget_of(r->service->name), &now, ev_now());
 }
 
 /* A send may wait for room, or try servers that are not reached, after it was counted. */
-static void count_late(struct rq *r)
+static void count_if_late(struct rq *r)
 {
-	struct budget_rule now = rule();
+	struct budget_rule now = current_rule();
 
-	if (ev_now() - r->counted_us > budget_late_us(&now)) count_repeat(r);
-	r->counted_us = ev_now();
+	if (ev_now() - r->retry_counted_us > budget_late_us(&now)) count_retry(r);
+	r->retry_counted_us = ev_now();
 }
 
-void rq_note_reached(const struct leg *l)
+void att_note_reached(const struct attempt *att)
 {
-	struct rq *r = l->rq;
+	struct rq *r = att->rq;
 
-	if (l->from_copy || !r->reached++) return;
+	if (att->from_copy || !r->reached_count++) return;
 	met_add(MET_REPEATS, 1);
-	count_late(r);
+	count_if_late(r);
 }
 
 void rq_note_copy_refused(struct rq *r)
 {
-	if (!r->copies_refused++) count_repeat(r); /* later ones were asked for */
+	if (!r->copies_refused++) count_retry(r); /* later ones were asked for */
 }
 
 /* Once for each request: a silent one is looked at again and again. */
-static void tell_held_back(struct rq *r)
+static void log_retry_denied(struct rq *r)
 {
 	GString *g;
 
-	if (r->held_back) return;
-	r->held_back = 1;
+	if (r->retry_denied) return;
+	r->retry_denied = 1;
 	met_add(MET_REPEATS_HELD, 1);
 	g = jlog_begin("relay", "repeat_held_back");
 	jlog_str(g, "request", r->in.id);
@@ -79,25 +79,25 @@
 	jlog_end(g);
 }
 
-static int take(struct rq *r, enum budget_use use)
+static int spend_budget(struct rq *r, enum budget_use use)
 {
-	struct budget_rule now = rule();
+	struct budget_rule now = current_rule();
 
 	if (budget_take(budget_of(r->service->name), &now, use, ev_now())) return 1;
-	tell_held_back(r);
+	log_retry_denied(r);
 	return 0;
 }
 
-int rq_may_repeat(struct rq *r)
+int rq_may_retry(struct rq *r)
 {
-	if (r->sends - r->unreached >= RQ_SENDS_MAX) return 0;
-	if (!r->reached) return r->sends < RQ_CONNECTS_MAX;
-	if (!take(r, BUDGET_REPEAT)) return 0;
-	r->counted_us = ev_now();
+	if (r->sends - r->unreached_count >= RQ_SENDS_MAX) return 0;
+	if (!r->reached_count) return r->sends < RQ_CONNECTS_MAX;
+	if (!spend_budget(r, BUDGET_REPEAT)) return 0;
+	r->retry_counted_us = ev_now();
 	return 1;
 }
 
-int rq_may_go_on(struct rq *r)
+int rq_may_resume_from_copy(struct rq *r)
 {
-	return !r->copies_refused || take(r, BUDGET_STREAM);
+	return !r->copies_refused || spend_budget(r, BUDGET_STREAM);
 }
--- a/src/relay/rq_end.c
+++ b/src/relay/rq_end.c
@@ -4,151 +4,150 @@
 #include "rq_impl.h"
 #include <errno.h>
 
-static void log_broke(const struct leg *l, const char *why, int err)
+static void log_broken(const struct attempt *att, const char *why, int err)
 {
 	GString *g = jlog_begin("relay", "exchange_broke");
 	char print[FP_HEX];
 
-	fp_write(&l->rq->fp, print);
-	jlog_str(g, "request", l->rq->in.id);
-	if (l->rq->has_fp) jlog_str(g, "fingerprint", print);
-	jlog_str(g, "backend", l->be->id);
+	fp_write(&att->rq->fp, print);
+	jlog_str(g, "request", att->rq->in.id);
+	if (att->rq->has_fp) jlog_str(g, "fingerprint", print);
+	jlog_str(g, "backend", att->be->id);
 	jlog_str(g, "why", why);
 	jlog_int(g, "error", err);
-	jlog_int(g, "after_ms", (clock_us() - l->sent_us) / 1000);
-	jlog_int(g, "events", l->rq->seen.count);
+	jlog_int(g, "after_ms", (clock_us() - att->sent_us) / 1000);
+	jlog_int(g, "events", att->rq->seen.count);
 	jlog_end(g);
 }
 
-static void again(struct rq *r, enum retry why)
+static void place_again(struct rq *r, enum retry why)
 {
 	met_retried(why);
 	rq_place(r);
 }
 
 /* Turned away: free to go elsewhere, as far as repeats may be sent. */
-static void turned_away(struct leg *l)
+static void turned_away(struct attempt *att)
 {
-	struct rq *r = l->rq;
+	struct rq *r = att->rq;
 
-	log_broke(l, "not_run", 0);
-	be_turned_away(l->be);
-	leg_read(l);
-	if (rq_may_repeat(r))
-		again(r, RETRY_ENGINE_STATUS);
+	log_broken(att, "not_run", 0);
+	be_turned_away(att->be);
+	att_prompt_read(att);
+	if (rq_may_retry(r))
+		place_again(r, RETRY_ENGINE_STATUS);
 	else
-		rq_refuse(r, REF_BUSY, RETRY_SERVERS_US, "backend servers turned it away");
+		rq_refuse(r, REF_BUSY, RETRY_TRIED_US, "backend servers turned it away");
 }
 
-static void not_reached(struct leg *l, int err)
+static void not_reached(struct attempt *att, int err)
 {
-	struct rq *r = l->rq;
+	struct rq *r = att->rq;
 	int closed = err == -ECONNREFUSED;
 
-	log_broke(l, "not_reached", err);
-	if (closed) leg_note_refused(l);
+	log_broken(att, "not_reached", err);
+	if (closed) att_note_refused(att);
 	if (closed)
-		be_refused_connection(l->be);
+		be_refused_connection(att->be);
 	else
-		be_failed(l->be, "not reached");
-	r->unreached++;
+		be_failed(att->be, "not reached");
+	r->unreached_count++;
 	if (r->sends < (closed ? RQ_CONNECTS_MAX : RQ_SENDS_MAX))
-		again(r, RETRY_CONNECT);
+		place_again(r, RETRY_CONNECT);
 	else
-		rq_refuse(r, REF_NO_ENGINE, RETRY_SERVERS_US,
-			  "backend servers are not reached");
+		rq_refuse(r, REF_NO_ENGINE, RETRY_TRIED_US, "backend servers are not reached");
 }
 
 /* It may have run: whether it may once more. Counted as sent anew when it may. */
 static int may_run_again(struct rq *r)
 {
 	if (r->on_trial) return 0;
-	return rq_repeatable(r) && r->runs < r->route->attempts && rq_may_repeat(r);
+	return rq_retryable(r) && r->runs < r->route->attempts && rq_may_retry(r);
 }
 
-static void broke(struct leg *l, int err)
+static void broken_off(struct attempt *att, int err)
 {
-	struct rq *r = l->rq;
+	struct rq *r = att->rq;
 
 	/* Engines that did as they were told were taken for failing, and got no work. */
 	if (!move_stops_source(r)) {
-		leg_note_broken(l, err);
-		leg_tell_version(l, RO_BROKE);
-		be_failed(l->be, "broke off");
+		att_note_broken(att, err);
+		att_report_outcome(att, RO_BROKE);
+		be_failed(att->be, "broke off");
 	}
-	log_broke(l, "may_have_run", err);
+	log_broken(att, "may_have_run", err);
 	if (move_source_ended(r)) return;
 	r->runs++;
-	if (!move_to_backup(r)) return;
+	if (!move_to_replica(r)) return;
 	if (may_run_again(r)) {
-		again(r, r->seen.count ? RETRY_RESUME : RETRY_ENGINE_LOST);
+		place_again(r, r->seen.count ? RETRY_RESUME : RETRY_ENGINE_LOST);
 		return;
 	}
 	rq_fail(r, r->head_sent ? REF_STREAM_LOST : REF_ENGINE_FAILED,
 		"the backend server broke off");
 }
 
-static void answer_done(struct leg *l, const struct hp_head *head)
+static void answer_done(struct attempt *att, const struct hp_head *head)
 {
-	struct rq *r = l->rq;
+	struct rq *r = att->rq;
 
-	rq_came_through(r);
-	leg_tell_version(l, head->status < 500 ? RO_WELL : RO_BADLY);
+	rq_note_completed_run(r);
+	att_report_outcome(att, head->status < 500 ? RO_WELL : RO_BADLY);
 	if (head->status < 500) {
-		be_succeeded(l->be, clock_us() - l->sent_us);
+		be_succeeded(att->be, clock_us() - att->sent_us);
 		rq_answer(r, head);
 		return;
 	}
-	be_answered_badly(l->be);
+	be_answered_badly(att->be);
 	r->runs++;
 	if (may_run_again(r)) {
-		again(r, RETRY_ENGINE_STATUS);
+		place_again(r, RETRY_ENGINE_STATUS);
 		return;
 	}
 	rq_answer(r, head);
 }
 
-static void copy_refused(struct leg *l, int err, int up)
+static void copy_refused(struct attempt *att, int err, int up)
 {
-	log_broke(l, "copy_refused", err);
-	if (up) rq_note_copy_refused(l->rq);
-	if (err == -ECONNREFUSED) be_refused_connection(l->be);
-	move_refused(l->rq, l->not_run);
+	log_broken(att, "copy_refused", err);
+	if (up) rq_note_copy_refused(att->rq);
+	if (err == -ECONNREFUSED) be_refused_connection(att->be);
+	move_next_refused(att->rq, att->not_run);
 }
 
-void leg_server_ended(struct leg *l)
+void att_server_gone(struct attempt *att)
 {
-	int up = l->hx->up;
+	int up = att->hx->up;
 
-	hx_cancel(l->hx);
-	l->hx = NULL;
-	if (l == l->rq->next)
-		copy_refused(l, -EPIPE, up);
+	hx_cancel(att->hx);
+	att->hx = NULL;
+	if (att == att->rq->next)
+		copy_refused(att, -EPIPE, up);
 	else if (up)
-		broke(l, -EPIPE);
+		broken_off(att, -EPIPE);
 	else
-		not_reached(l, -EHOSTUNREACH);
+		not_reached(att, -EHOSTUNREACH);
 }
 
-void leg_on_end(struct hx *x, int err)
+void att_on_end(struct hx *x, int err)
 {
-	struct leg *l = x->user;
+	struct attempt *att = x->user;
 
-	l->hx = NULL;
-	if (l == l->rq->next) {
-		copy_refused(l, err, x->up);
+	att->hx = NULL;
+	if (att == att->rq->next) {
+		copy_refused(att, err, x->up);
 		return;
 	}
-	if (!err && leg_is_stream(l, x)) {
-		leg_stream_done(l, &x->hp.head);
+	if (!err && att_is_stream(att, x)) {
+		att_stream_done(att, &x->hp.head);
 		return;
 	}
 	if (!err)
-		answer_done(l, &x->hp.head);
-	else if (l->not_run)
-		turned_away(l);
+		answer_done(att, &x->hp.head);
+	else if (att->not_run)
+		turned_away(att);
 	else if (!x->up)
-		not_reached(l, err);
+		not_reached(att, err);
 	else
-		broke(l, err);
+		broken_off(att, err);
 }
--- a/src/relay/rq_load.c
+++ b/src/relay/rq_load.c
@@ -3,10 +3,10 @@
 #include "mesh.h"
 #include "rq_impl.h"
 
-#define TOKEN_US 9000     /* a token on a busy engine, until one was seen */
-#define GROWTH_MAX 100000 /* tokens: what grows beyond is seen when it is there */
+#define DEFAULT_TOKEN_US 9000 /* a token on a busy engine, until one was seen */
+#define GROWTH_MAX 100000     /* tokens: what grows beyond is seen when it is there */
 
-struct length_stats *rq_lengths(const struct rq *r)
+struct length_stats *rq_length_stats(const struct rq *r)
 {
 	static GHashTable *stats;
 	struct length_stats *s;
@@ -21,108 +21,108 @@
 
 double rq_token_us(const struct rq *r)
 {
-	double each = rq_lengths(r)->token_us;
+	double each = rq_length_stats(r)->token_us;
 
-	return each > 0 ? each : TOKEN_US;
+	return each > 0 ? each : DEFAULT_TOKEN_US;
 }
 
-uint32_t rq_made(const struct rq *r)
+uint32_t rq_tokens_made(const struct rq *r)
 {
 	return r->seen.count * r->service->stride;
 }
 
-uint32_t rq_held(const struct rq *r)
+uint32_t rq_expected_memory(const struct rq *r)
 {
-	uint32_t made = rq_made(r), more;
+	uint32_t made = rq_tokens_made(r), more;
 
 	if (!r->service->engine) return 0;
-	more = length_remaining(rq_lengths(r), r->in.output_hint, r->in.output_max, made);
+	more = length_remaining(rq_length_stats(r), r->in.output_hint, r->in.output_max, made);
 	return r->job.prompt + made + MIN(more, GROWTH_MAX);
 }
 
 /* Its memory has to be copied if its engine leaves, and can be. */
-static int is_bare(const struct leg *l)
+static int is_unreplicated(const struct attempt *att)
 {
-	const struct rq *r = l->rq;
+	const struct rq *r = att->rq;
 
 	if (r->route->kind != CONF_STREAM || r->route->resumable) return 0;
-	if (!r->service->moves || !l->first_us || r->move.tries > MOVE_TRIES_MAX) return 0;
-	return !l->backup || l->copy_bad;
+	if (!r->service->moves || !att->first_us || r->move.tries > MOVE_TRIES_MAX) return 0;
+	return !att->replica || att->replica_refused;
 }
 
 /* Counts its memory as so much from now on, where it runs and where its copy is. */
-static void count_memory(struct leg *l, uint32_t held, uint32_t used)
+static void count_memory(struct attempt *att, uint32_t held, uint32_t used)
 {
-	uint32_t bare = is_bare(l) ? used : 0;
-
-	l->be->own.held += held - l->held;
-	l->be->own.used += used - l->used;
-	l->be->own.bare += bare - l->bare;
-	l->bare = bare;
-	mesh_load_changed(l->be);
-	if (l->backup) {
-		l->backup->own.backup += held - l->held;
-		l->backup->own.used += used - l->used;
-		mesh_load_changed(l->backup);
+	uint32_t unreplicated = is_unreplicated(att) ? used : 0;
+
+	att->be->own.held += held - att->held;
+	att->be->own.used += used - att->used;
+	att->be->own.bare += unreplicated - att->unreplicated;
+	att->unreplicated = unreplicated;
+	mesh_load_changed(att->be);
+	if (att->replica) {
+		att->replica->own.backup += held - att->held;
+		att->replica->own.used += used - att->used;
+		mesh_load_changed(att->replica);
 	}
-	l->held = held;
-	l->used = used;
+	att->held = held;
+	att->used = used;
 }
 
-void leg_recount(struct leg *l)
+void att_recount(struct attempt *att)
 {
-	const struct rq *r = l->rq;
+	const struct rq *r = att->rq;
 
 	if (!r->service->engine) return;
-	count_memory(l, rq_held(r), r->job.prompt + rq_made(r));
+	count_memory(att, rq_expected_memory(r), r->job.prompt + rq_tokens_made(r));
 }
 
-void leg_count_in(struct leg *l)
+void att_count_in(struct attempt *att)
 {
-	l->be->own.runs++;
-	be_note_use(l->be);
-	if (l->reading) l->be->own.unread += l->rq->job.prompt;
-	leg_recount(l);
+	att->be->own.runs++;
+	be_note_use(att->be);
+	if (att->prompt_unread) att->be->own.unread += att->rq->job.prompt;
+	att_recount(att);
 }
 
-void leg_count_out(struct leg *l)
+void att_count_out(struct attempt *att)
 {
-	leg_read(l);
-	leg_drop_backup(l);
-	l->be->own.runs--;
-	count_memory(l, 0, 0);
+	att_prompt_read(att);
+	att_drop_replica(att);
+	att->be->own.runs--;
+	count_memory(att, 0, 0);
 }
 
-void leg_read(struct leg *l)
+void att_prompt_read(struct attempt *att)
 {
-	if (!l->reading) return;
-	l->reading = 0;
-	l->be->own.unread -= l->rq->job.prompt;
-	mesh_load_changed(l->be);
+	if (!att->prompt_unread) return;
+	att->prompt_unread = 0;
+	att->be->own.unread -= att->rq->job.prompt;
+	mesh_load_changed(att->be);
 }
 
-void leg_drop_backup(struct leg *l)
+void att_drop_replica(struct attempt *att)
 {
-	if (!l->backup) return;
-	l->backup->own.backup -= l->held;
-	l->backup->own.used -= l->used;
-	mesh_load_changed(l->backup);
-	be_unref(l->backup);
-	l->backup = NULL;
-	count_memory(l, l->held, l->used);
+	if (!att->replica) return;
+	att->replica->own.backup -= att->held;
+	att->replica->own.used -= att->used;
+	mesh_load_changed(att->replica);
+	be_unref(att->replica);
+	att->replica = NULL;
+	count_memory(att, att->held, att->used);
 }
 
 /* The copy of a run that did not end well stays for a while and can't be dropped: it is counted
  * until then. */
-struct left_copy {
+struct left_replica {
 	struct ev_timer timer;
 	struct be *be;
 	uint32_t held, used;
 };
 
-static void on_copy_over(struct ev_timer *t)
+static void on_replica_expired(struct ev_timer *t)
 {
-	struct left_copy *c = (struct left_copy *)t;
+	struct left_replica *c = (struct left_replica *)t;
 
 	c->be->own.backup -= c->held;
 	c->be->own.used -= c->used;
@@ -131,14 +131,14 @@
 	ev_free_later(c);
 }
 
-void leg_leave_copy(const struct leg *l)
+void att_leave_replica(const struct attempt *att)
 {
-	struct left_copy *c = g_new0(struct left_copy, 1);
+	struct left_replica *c = g_new0(struct left_replica, 1);
 
-	c->timer.fire = on_copy_over;
-	c->be = be_ref(l->backup);
-	c->held = c->used = l->used;
+	c->timer.fire = on_replica_expired;
+	c->be = be_ref(att->replica);
+	c->held = c->used = att->used;
 	c->be->own.backup += c->held;
 	c->be->own.used += c->used;
-	ev_in(&c->timer, l->rq->service->handle_us);
+	ev_in(&c->timer, att->rq->service->handle_us);
 }
--- a/src/relay/rq_room.c
+++ b/src/relay/rq_memory.c
@@ -6,49 +6,50 @@
 static void fill_forecast(struct forecast_site *s, struct be *b, const struct rq *r,
 			  int64_t now)
 {
-	struct be_load all = rq_load_of(b);
-	uint32_t foreseen = all.held + all.backup;
+	struct be_load all = rq_total_load(b);
+	uint32_t site_list = all.held + all.backup;
 
 	*s = (struct forecast_site){
 		.usable_in_us = rq_usable_in(b, r, now),
 		.tokens = r->service->tokens,
 		.used = all.used + all.inbound,
-		.growth = foreseen > all.used ? foreseen - all.used : 0,
+		.growth = site_list > all.used ? site_list - all.used : 0,
 		.runs = all.runs,
 		.token_us = rq_token_us(r),
 	};
 }
 
-struct foreseen {
+struct site_list {
 	const struct rq *r;
 	int64_t now;
 	struct forecast_site s[PLACE_SITES_MAX];
 	int n;
 };
 
-static int foresee(struct be *b, void *arg)
+static int add_site(struct be *b, void *arg)
 {
-	struct foreseen *f = arg;
+	struct site_list *f = arg;
 
 	fill_forecast(&f->s[f->n], b, f->r, f->now);
 	if (f->s[f->n].usable_in_us != FORECAST_NEVER) f->n++;
 	return f->n < PLACE_SITES_MAX;
 }
 
-int64_t rq_room_in(const struct rq *r, uint64_t before)
+int64_t rq_memory_free_in(const struct rq *r, uint64_t before)
 {
-	static struct foreseen f;
+	static struct site_list f;
 
 	f.r = r;
 	f.now = clock_us();
 	f.n = 0;
-	be_walk(r->service->name, rq_cfg->data_centre, rq_own_place(), foresee, &f);
+	be_walk(r->service->name, rq_cfg->data_centre, rq_walk_start(), add_site, &f);
 	return forecast_room_us(f.s, f.n, r->job.prompt + r->job.growth / 2, before);
 }
 
 int rq_fits(const struct rq *r, struct be *b)
 {
-	struct place_job now = {.prompt = r->job.prompt + rq_made(r), .growth = r->job.growth};
+	struct place_job now = {.prompt = r->job.prompt + rq_tokens_made(r),
+				.growth = r->job.growth};
 	struct place_site s;
 
 	if (!r->service->engine) return 1;
@@ -56,7 +57,7 @@
 	return place_fits(&s, &now);
 }
 
-int rq_waits(const struct rq *r, struct be *b)
+int rq_should_wait(const struct rq *r, struct be *b)
 {
 	struct place_site s;
 
@@ -64,7 +65,7 @@
 	return place_waits(&s, clock_us() - r->began_us, r->route->aim_us);
 }
 
-int rq_in_time(const struct rq *r, struct be *b)
+int rq_can_answer_in_time(const struct rq *r, struct be *b)
 {
 	struct place_site s;
 
--- a/src/relay/rq_move_copy.c
+++ b/src/relay/rq_move_copy.c
@@ -9,12 +9,14 @@
 #include <string.h>
 
 #define SOURCE_END_US 100000 /* the source's last events are under way */
-#define ORDER_US 4000000 /* moves queue on their links; the source lives two seconds or so */
+#define ORDER_TIMEOUT_US \
+	4000000 /* moves queue on their links; the source lives two seconds or so */
 #define ORDER_ANSWER_MAX 65536 /* bytes: it holds a name and a number */
 #define NOT_RUNNING_US 100000  /* a prompt is read in some hundred ms */
-#define CALM_US 60000 /* a part of a few tokens that took longer waited for other copies */
-#define MOVE_PACED_US 100000 /* how often an order waits anew for its turn at the source */
-#define LAST_US 1200000      /* after the notice the source is stopped all the same */
+#define QUICK_COPY_US \
+	60000 /* a part of a few tokens that took longer waited for other copies */
+#define RATE_RECHECK_US 100000    /* how often an order waits anew for its turn at the source */
+#define FINAL_COPY_DUE_US 1200000 /* after the notice the source is stopped all the same */
 
 static void ignore_end(struct hx *x, int err)
 {
@@ -23,7 +25,7 @@
 }
 
 /* Not where the server bears only so many requests: the copy runs out by itself. */
-static void copy_drop(struct be *at, const char *name)
+static void drop_copy_at(struct be *at, const char *name)
 {
 	GString *out;
 	struct hx *x;
@@ -33,13 +35,13 @@
 	x = hx_new(NULL);
 	dl_write_drop(out, at, name);
 	x->on_end = ignore_end;
-	x->wait_us = ORDER_US;
+	x->wait_us = ORDER_TIMEOUT_US;
 	bx_start(x, at, out, RQ_CONNECT_US);
 }
 
 void move_drop_copy(struct move *m)
 {
-	if (m->handle[0] && m->target) copy_drop(m->target, m->handle);
+	if (m->handle[0] && m->target) drop_copy_at(m->target, m->handle);
 	m->handle[0] = '\0';
 }
 
@@ -51,8 +53,8 @@
 	for (i = 0; i < rq_all->len; i++) {
 		const struct rq *o = g_ptr_array_index(rq_all, i);
 
-		if (o == r || !o->leg || o->leg->be != r->leg->be) continue;
-		if (o->move.state == MOVE_COPY || o->move.state == MOVE_LAST) return 1;
+		if (o == r || !o->attempt || o->attempt->be != r->attempt->be) continue;
+		if (o->move.state == MOVE_COPYING || o->move.state == MOVE_FINAL_COPY) return 1;
 	}
 	return 0;
 }
@@ -62,31 +64,31 @@
 	struct move *m = &r->move;
 
 	if (source_busy(r)) {
-		move_later(r, MOVE_AGAIN_US);
+		move_postpone(r, MOVE_RETRY_US);
 		return;
 	}
 	if (++m->tries > MOVE_TRIES_MAX) {
 		m->state = MOVE_NONE;
-		leg_recount(r->leg); /* others need not wait for it */
+		att_recount(r->attempt); /* others need not wait for it */
 		return;
 	}
-	move_forget_ends(m);
-	m->source = be_ref(r->leg->be);
-	m->target = rq_pick_target(r, m->source);
+	move_clear_servers(m);
+	m->source = be_ref(r->attempt->be);
+	m->target = rq_pick_move_target(r, m->source);
 	if (!m->target) {
-		move_later(r, MOVE_AGAIN_US);
+		move_postpone(r, MOVE_RETRY_US);
 		return;
 	}
 	be_ref(m->target);
-	move_count_inbound(m, r->job.prompt + rq_made(r));
+	move_count_inbound(m, r->job.prompt + rq_tokens_made(r));
 	m->refusals = 0;
 	move_log(r, "stream_move", 0);
-	m->state = MOVE_COPY;
-	move_order(r, 0);
+	m->state = MOVE_COPYING;
+	move_order_copy(r, 0);
 }
 
 /* An engine names a copy anew, or goes on with the one that it has named. */
-static void drop_unless_same(struct move *m, const struct dl_moved *moved)
+static void replace_handle(struct move *m, const struct dl_moved *moved)
 {
 	if (strcmp(m->handle, moved->handle)) move_drop_copy(m);
 	g_strlcpy(m->handle, moved->handle, sizeof m->handle);
@@ -97,24 +99,24 @@
  * the time is short. */
 static int may_copy_again(const struct rq *r)
 {
-	if (clock_us() - r->move.ordered_us < CALM_US) return 0;
-	return be_left_for_us(r->move.source) < LAST_US;
+	if (clock_us() - r->move.ordered_us < QUICK_COPY_US) return 0;
+	return be_left_for_us(r->move.source) < FINAL_COPY_DUE_US;
 }
 
 /* Its engine has put it off for lack of memory: there is nothing to copy until it is read
  * anew. */
-static void not_running(struct rq *r)
+static void source_preempted(struct rq *r)
 {
 	met_add(MET_PREEMPTIONS, 1);
 	if (be_leaves(r->move.source))
-		move_later(r, NOT_RUNNING_US);
+		move_postpone(r, NOT_RUNNING_US);
 	else
-		move_stop(r);
+		move_reset(r);
 }
 
 /* Where the rest finds no room it goes on at its source, if it still may then: one that
  * nothing drives away runs to its end there. */
-static int may_stop(const struct rq *r)
+static int may_stop_source(const struct rq *r)
 {
 	const struct be *b = r->move.source;
 
@@ -123,54 +125,54 @@
 
 static void on_copied(struct rq *r, int status, const struct dl_moved *moved)
 {
-	drop_unless_same(&r->move, moved);
+	replace_handle(&r->move, moved);
 	switch (status) {
 	case 200:
 		if (may_copy_again(r)) {
-			move_order(r, 0);
+			move_order_copy(r, 0);
 			return;
 		}
-		if (!may_stop(r)) {
-			move_stop(r);
+		if (!may_stop_source(r)) {
+			move_reset(r);
 			return;
 		}
-		r->move.state = MOVE_LAST;
-		move_order(r, 1);
+		r->move.state = MOVE_FINAL_COPY;
+		move_order_copy(r, 1);
 		return;
-	case 404: not_running(r); return;
+	case 404: source_preempted(r); return;
 	case 503: be_no_room(r->move.target); /* fall through */
-	default: move_later(r, MOVE_AGAIN_US);
+	default: move_postpone(r, MOVE_RETRY_US);
 	}
 }
 
-static void on_last(struct rq *r, int status, const struct dl_moved *moved)
+static void on_final_copied(struct rq *r, int status, const struct dl_moved *moved)
 {
 	struct move *m = &r->move;
 
 	if (moved->handle[0]) {
 		g_strlcpy(m->handle, moved->handle, sizeof m->handle);
-		m->stopped = 1;
+		m->source_stopped = 1;
 	}
-	if (status == 200 && m->stopped) {
-		if (r->leg->hx)
+	if (status == 200 && m->source_stopped) {
+		if (r->attempt->hx)
 			ev_in(&m->timer, SOURCE_END_US);
 		else
-			move_use_handle(r);
+			move_resume_at_target(r);
 		return;
 	}
 	if (status == 409 && ++m->tries <= MOVE_TRIES_MAX) {
-		ev_in(&m->timer, MOVE_AGAIN_US);
+		ev_in(&m->timer, MOVE_RETRY_US);
 		return;
 	}
-	if (m->stopped) {
+	if (m->source_stopped) {
 		/* No room there. */
-		move_use_source(r);
+		move_resume_at_source(r);
 		return;
 	}
-	if (r->leg->hx)
-		move_later(r, MOVE_AGAIN_US);
+	if (r->attempt->hx)
+		move_postpone(r, MOVE_RETRY_US);
 	else
-		move_lost(r, "the source stopped and its memory was not moved");
+		move_fail(r, "the source stopped and its memory was not moved");
 }
 
 static void on_order_end(struct hx *x, int err)
@@ -182,11 +184,12 @@
 
 	m->hx = NULL;
 	if (!err) dl_read_moved(m->body->str, m->body->len, &moved);
-	move_log(r, m->state == MOVE_COPY ? "move_copied" : "move_stopped", err ? err : status);
-	if (m->state == MOVE_COPY)
+	move_log(r, m->state == MOVE_COPYING ? "move_copied" : "move_stopped",
+		 err ? err : status);
+	if (m->state == MOVE_COPYING)
 		on_copied(r, status, &moved);
 	else
-		on_last(r, status, &moved);
+		on_final_copied(r, status, &moved);
 }
 
 static int on_order_body(struct hx *x, const char *p, size_t n)
@@ -198,14 +201,14 @@
 	return 0;
 }
 
-void move_order(struct rq *r, int last)
+void move_order_copy(struct rq *r, int final)
 {
 	struct move *m = &r->move;
 	int64_t wait_us = pace_wait_us(m->source, r->service, clock_us());
 	GString *out;
 
 	if (wait_us) {
-		ev_in(&m->timer, MIN(wait_us, MOVE_PACED_US));
+		ev_in(&m->timer, MIN(wait_us, RATE_RECHECK_US));
 		return;
 	}
 	out = g_string_new(NULL);
@@ -213,13 +216,13 @@
 		g_string_truncate(m->body, 0);
 	else
 		m->body = g_string_new(NULL);
-	dl_write_move(out, m->source, r->in.id, m->target->address, last);
+	dl_write_move(out, m->source, r->in.id, m->target->address, final);
 	m->ordered_us = clock_us();
 	m->hx = hx_new(r);
 	m->hx->on_body = on_order_body;
 	m->hx->on_end = on_order_end;
-	m->hx->wait_us = ORDER_US;
+	m->hx->wait_us = ORDER_TIMEOUT_US;
 	if (!bx_start(m->hx, m->source, out, RQ_CONNECT_US)) return;
 	m->hx = NULL;
-	move_later(r, MOVE_AGAIN_US);
+	move_postpone(r, MOVE_RETRY_US);
 }
--- a/src/relay/rq_move_next.c
+++ b/src/relay/rq_move_next.c
@@ -11,78 +11,79 @@
  * loop that is held up (a megabyte of configuration: 36 ms of processor time) need some of
  * them.
  */
-#define BOTH_RUN_US 120000
+#define OVERLAP_MAX_US 120000
 /* Without the source: the connection may have fallen silent for good, another one may not. */
-#define SUCCESSOR_US 1000000
+#define NEXT_TIMEOUT_US 1000000
 #define PAUSE_MAX_US 2000000 /* callers give a stream up that pauses for longer */
 #define COPY_REFUSALS_MAX 3  /* of one copy: an engine that sheds a third takes it by then */
 
 /* The engine that has the copy bears only so many requests. 1 when the stream waits for its
  * turn, or is lost. */
-static int wait_for_turn(struct rq *r, struct be *b)
+static int wait_for_rate(struct rq *r, struct be *b)
 {
 	int64_t wait_us = pace_wait_us(b, r->service, clock_us());
 
 	if (!wait_us) return 0;
-	if (r->leg->hx && !r->move.stopped) {
-		move_later(r, MOVE_AGAIN_US); /* the source still runs */
+	if (r->attempt->hx && !r->move.source_stopped) {
+		move_postpone(r, MOVE_RETRY_US); /* the source still runs */
 		return 1;
 	}
 	if (wait_us > PAUSE_MAX_US) {
-		move_lost(r, "the engine that has its memory takes no more requests in time");
+		move_fail(r, "the engine that has its memory takes no more requests in time");
 		return 1;
 	}
-	r->move.state = MOVE_NEXT;
+	r->move.state = MOVE_SWITCHING;
 	ev_in(&r->move.timer, wait_us);
 	return 1;
 }
 
-static void go_on_at(struct rq *r, struct be *b, const struct be *copy_at, const char *copy)
+static void resume_at(struct rq *r, struct be *b, const struct be *copy_at, const char *copy)
 {
 	if (!be_may_go_on(b)) {
-		move_lost(r, "its memory is in a data centre that is drained");
+		move_fail(r, "its memory is in a data centre that is drained");
 		return;
 	}
-	if (wait_for_turn(r, b)) return;
-	r->move.state = MOVE_NEXT;
-	if (!rq_may_go_on(r)) {
-		move_refused(r, 1);
+	if (wait_for_rate(r, b)) return;
+	r->move.state = MOVE_SWITCHING;
+	if (!rq_may_resume_from_copy(r)) {
+		move_next_refused(r, 1);
 		return;
 	}
-	r->next = leg_start(r, b, copy_at, copy);
-	if (!r->next) move_refused(r, 0);
+	r->next = att_start(r, b, copy_at, copy);
+	if (!r->next) move_next_refused(r, 0);
 }
 
-int move_has_backup(const struct rq *r)
+int move_has_replica(const struct rq *r)
 {
-	const struct be *b = r->leg->backup;
+	const struct be *b = r->attempt->replica;
 
-	return b && !r->leg->copy_bad && r->leg->first_us && be_usable(b, clock_us());
+	return b && !r->attempt->replica_refused && r->attempt->first_us &&
+	       be_usable(b, clock_us());
 }
 
-int move_to_backup(struct rq *r)
+int move_to_replica(struct rq *r)
 {
 	struct be *b;
 
-	if (r->move.state == MOVE_NEXT) return 0;
-	if (!r->leg || !move_has_backup(r)) return -ENOENT;
-	move_stop(r);
-	b = r->leg->backup;
-	r->move.source = be_ref(r->leg->be);
+	if (r->move.state == MOVE_SWITCHING) return 0;
+	if (!r->attempt || !move_has_replica(r)) return -ENOENT;
+	move_reset(r);
+	b = r->attempt->replica;
+	r->move.source = be_ref(r->attempt->be);
 	r->move.target = be_ref(b);
 	move_log(r, "stream_to_backup", 0);
-	go_on_at(r, b, r->leg->be, r->in.id);
+	resume_at(r, b, r->attempt->be, r->in.id);
 	return 0;
 }
 
-void move_use_handle(struct rq *r)
+void move_resume_at_target(struct rq *r)
 {
 	struct move *m = &r->move;
 
-	go_on_at(r, m->target, m->source, m->handle);
+	resume_at(r, m->target, m->source, m->handle);
 }
 
-void move_use_source(struct rq *r)
+void move_resume_at_source(struct rq *r)
 {
 	struct move *m = &r->move;
 
@@ -90,49 +91,50 @@
 	be_unref(m->target);
 	m->target = be_ref(m->source);
 	m->refusals = 0;
-	move_use_handle(r);
+	move_resume_at_target(r);
 }
 
-void move_use_again(struct rq *r)
+void move_resume_again(struct rq *r)
 {
 	struct move *m = &r->move;
 
-	if (m->stopped)
-		move_use_handle(r);
+	if (m->source_stopped)
+		move_resume_at_target(r);
 	else
-		go_on_at(r, m->target, m->source, r->in.id);
+		resume_at(r, m->target, m->source, r->in.id);
 }
 
-void move_reached(struct rq *r)
+void move_next_reached(struct rq *r)
 {
-	ev_at(&r->move.timer, clock_us() + (r->leg->hx ? BOTH_RUN_US : SUCCESSOR_US));
+	ev_at(&r->move.timer, clock_us() + (r->attempt->hx ? OVERLAP_MAX_US : NEXT_TIMEOUT_US));
 }
 
-void move_not_answered(struct rq *r)
+void move_next_timed_out(struct rq *r)
 {
-	if (!r->leg->hx) {
-		move_refused(r, 1);
+	if (!r->attempt->hx) {
+		move_next_refused(r, 1);
 		return;
 	}
-	ev_in(&r->move.timer, SUCCESSOR_US);
-	hx_cancel(r->leg->hx);
-	r->leg->hx = NULL;
+	ev_in(&r->move.timer, NEXT_TIMEOUT_US);
+	hx_cancel(r->attempt->hx);
+	r->attempt->hx = NULL;
 	move_log(r, "source_let_go", 0);
 }
 
-void move_answered(struct rq *r)
+void move_next_answered(struct rq *r)
 {
-	struct leg *old = r->leg;
+	struct attempt *old = r->attempt;
 
-	r->leg = r->next;
+	r->attempt = r->next;
 	r->next = NULL;
-	if (old->backup == r->leg->be) old->copy_freed = 1; /* the copy was taken over */
-	leg_free(old);
+	if (old->replica == r->attempt->be)
+		old->replica_freed = 1; /* the copy was taken over */
+	att_free(old);
 	move_log(r, "stream_went_on", 0);
 	r->move.refusals = 0;
 	r->copies_refused = 0;
 	r->move.handle[0] = '\0';
-	move_stop(r);
+	move_reset(r);
 }
 
 /* An engine that is full or sheds load says the same as one that has no such copy: it may be
@@ -142,38 +144,38 @@
 	return turned_away && ++m->refusals <= COPY_REFUSALS_MAX;
 }
 
-static void give_up_copy(struct leg *l)
+static void give_up_replica(struct attempt *att)
 {
-	l->copy_bad = 1;
-	leg_recount(l);
+	att->replica_refused = 1;
+	att_recount(att);
 }
 
 /* The copy can't be used: the source goes on if it still runs, or is asked again. */
-void move_refused(struct rq *r, int turned_away)
+void move_next_refused(struct rq *r, int turned_away)
 {
 	struct move *m = &r->move;
-	int by_handle = m->stopped, again;
+	int by_handle = m->source_stopped, again;
 
 	ev_stop(&m->timer);
-	leg_free(r->next);
+	att_free(r->next);
 	r->next = NULL;
 	move_log(r, "copy_refused", 0);
 	again = may_ask_again(m, turned_away);
-	if (r->leg->hx && !by_handle) {
-		if (!again) give_up_copy(r->leg);
-		if (be_leaves(r->leg->be))
-			move_later(r, MOVE_AGAIN_US);
+	if (r->attempt->hx && !by_handle) {
+		if (!again) give_up_replica(r->attempt);
+		if (be_leaves(r->attempt->be))
+			move_postpone(r, MOVE_RETRY_US);
 		else
-			move_stop(r);
+			move_reset(r);
 		return;
 	}
 	if (again) {
-		ev_in(&m->timer, MOVE_AGAIN_US);
+		ev_in(&m->timer, MOVE_RETRY_US);
 		return;
 	}
 	if (by_handle && m->target != m->source && ++m->tries <= MOVE_TRIES_MAX) {
-		move_use_source(r);
+		move_resume_at_source(r);
 		return;
 	}
-	move_lost(r, "the copy of its memory could not be used");
+	move_fail(r, "the copy of its memory could not be used");
 }
--- a/src/relay/rq_pick.c
+++ b/src/relay/rq_pick.c
@@ -13,9 +13,9 @@
 #define RATE_US 2000000   /* over which this instance's own sends are averaged */
 /* How late others hear of a send: it waits 1 ms for others, crosses between data centres in
  * some ms, and is read when its receiver gets to it. */
-#define UNHEARD_US 10000
+#define LOAD_DELAY_US 10000
 
-struct be_load rq_load_of(const struct be *b)
+struct be_load rq_total_load(const struct be *b)
 {
 	return (struct be_load){.runs = b->own.runs + b->others.runs,
 				.unread = b->own.unread + b->others.unread,
@@ -25,13 +25,13 @@
 				.inbound = b->own.inbound + b->others.inbound};
 }
 
-int rq_allows(const struct rq *r, const struct be *b)
+int rq_region_allowed(const struct rq *r, const struct be *b)
 {
 	return conf_allows(r->route, r->group, b->region);
 }
 
 /* In another region, as far as is known. */
-static int is_away(const struct be *b, const char *dc)
+static int in_other_region(const struct be *b, const char *dc)
 {
 	const char *region = be_region_of(dc);
 
@@ -43,7 +43,8 @@
 {
 	int64_t in_us = be_usable_in(b, now), wait_us;
 
-	if (in_us == INT64_MAX || !ro_is(b, r->parts) || !rq_allows(r, b)) return INT64_MAX;
+	if (in_us == INT64_MAX || !ro_is(b, r->rollout_parts) || !rq_region_allowed(r, b))
+		return INT64_MAX;
 	wait_us = pace_wait_us(b, r->service, now);
 	return MAX(in_us, wait_us);
 }
@@ -51,12 +52,12 @@
 void rq_fill_site(struct place_site *s, struct be *b, const struct rq *r, const char *dc,
 		  int64_t now)
 {
-	struct be_load all = rq_load_of(b);
+	struct be_load all = rq_total_load(b);
 
 	*s = (struct place_site){
 		.usable = rq_usable_in(b, r, now) == 0,
 		.near = !strcmp(b->zone, dc),
-		.away = is_away(b, dc),
+		.away = in_other_region(b, dc),
 		.slots = b->slots,
 		.runs = all.runs,
 		.unread = all.unread,
@@ -77,8 +78,8 @@
 struct choice {
 	const struct rq *r;
 	const struct place_job *job;
-	const char *dc;            /* near ones are of this data centre */
-	const struct be *not_this; /* or NULL */
+	const char *dc;          /* near ones are of this data centre */
+	const struct be *except; /* or NULL */
 	int64_t now;
 	int last_resort; /* those that are better than nothing */
 	struct place_site s[PLACE_SITES_MAX];
@@ -87,17 +88,17 @@
 	int passed_over[PACE_WHYS];
 };
 
-uint32_t rq_own_place(void)
+uint32_t rq_walk_start(void)
 {
 	return g_str_hash(rq_cfg->ip) * 2654435761u;
 }
 
-static int may_go_to(struct choice *c, struct be *b, struct place_site *s)
+static int is_candidate(struct choice *c, struct be *b, struct place_site *s)
 {
-	if (b == c->not_this) return 0;
+	if (b == c->except) return 0;
 	if (c->last_resort)
-		return be_last_resort(b, c->now) && ro_is(b, c->r->parts) &&
-		       rq_allows(c->r, b) && !pace_wait_us(b, c->r->service, c->now);
+		return be_last_resort(b, c->now) && ro_is(b, c->r->rollout_parts) &&
+		       rq_region_allowed(c->r, b) && !pace_wait_us(b, c->r->service, c->now);
 	if (!s->usable) c->passed_over[pace_why(b, c->r->service, c->now)] = 1;
 	return s->usable;
 }
@@ -108,7 +109,7 @@
 	struct place_site *s = &c->s[c->n];
 
 	rq_fill_site(s, b, c->r, c->dc, c->now);
-	if (!may_go_to(c, b, s)) return 1;
+	if (!is_candidate(c, b, s)) return 1;
 	if (!place_fits(s, c->job)) {
 		if (c->full == FULL_SITES_MAX) return 1;
 		c->full++;
@@ -120,24 +121,24 @@
 
 /* Valid until the next call. */
 static struct choice *collect(struct rq *r, const struct place_job *job, const char *dc,
-			      const struct be *not_this)
+			      const struct be *except)
 {
 	static struct choice c;
 
 	c.r = r;
 	c.job = job;
 	c.dc = dc;
-	c.not_this = not_this;
+	c.except = except;
 	c.now = clock_us();
 	c.n = c.full = c.last_resort = 0;
 	memset(c.passed_over, 0, sizeof c.passed_over);
-	be_walk(r->service->name, dc, rq_own_place(), consider, &c);
+	be_walk(r->service->name, dc, rq_walk_start(), consider, &c);
 	met_add(MET_COLD_PASSED_OVER, c.passed_over[PACE_COLD]);
 	met_add(MET_LIMIT_PASSED_OVER, c.passed_over[PACE_LIMIT]);
 	met_add(MET_REST_PASSED_OVER, c.passed_over[PACE_REST]);
 	if (c.n) return &c;
 	c.last_resort = 1;
-	be_walk(r->service->name, dc, rq_own_place(), consider, &c);
+	be_walk(r->service->name, dc, rq_walk_start(), consider, &c);
 	return &c;
 }
 
@@ -163,12 +164,12 @@
 /* Each of the others is taken to send as much as this one. */
 static double rivals(void)
 {
-	return rate_now() * mesh_serving() * UNHEARD_US / 1e6;
+	return rate_now() * mesh_serving() * LOAD_DELAY_US / 1e6;
 }
 
-static struct be *pick(struct rq *r, const struct be *not_this)
+static struct be *pick(struct rq *r, const struct be *except)
 {
-	const struct choice *c = collect(r, &r->job, rq_cfg->data_centre, not_this);
+	const struct choice *c = collect(r, &r->job, rq_cfg->data_centre, except);
 
 	if (!r->service->engine) return chosen(c, place_call(c->s, c->n, g_random_int()));
 	r->job.rivals = rivals();
@@ -176,54 +177,54 @@
 }
 
 /* A canary is no reason to wait. */
-static int takes_now(const struct rq *r, struct be *b)
+static int can_start_now(const struct rq *r, struct be *b)
 {
-	return b && rq_fits(r, b) && !(r->service->engine && rq_waits(r, b));
+	return b && rq_fits(r, b) && !(r->service->engine && rq_should_wait(r, b));
 }
 
-struct be *rq_pick(struct rq *r, const struct be *not_this)
+struct be *rq_pick(struct rq *r, const struct be *except)
 {
 	uint32_t others = ro_parts_else(r->service->name);
 	struct be *b;
 
-	r->parts = ro_parts(r->service->name, !r->sends);
-	b = pick(r, not_this);
-	if (r->parts == others || takes_now(r, b)) return b;
-	r->parts = others;
-	return pick(r, not_this);
+	r->rollout_parts = ro_parts(r->service->name, !r->sends);
+	b = pick(r, except);
+	if (r->rollout_parts == others || can_start_now(r, b)) return b;
+	r->rollout_parts = others;
+	return pick(r, except);
 }
 
 /* Not where it would have to leave again: with the entries of all engines gone for a moment a
  * stream went from one to the next after each event, 80 times in 0.4 s. */
-static int can_be_moved_to(const struct be *b)
+static int can_take_move(const struct be *b)
 {
 	return !be_leaves(b) && !b->refused && b->full_until_us <= clock_us();
 }
 
-struct be *rq_pick_target(struct rq *r, const struct be *source)
+struct be *rq_pick_move_target(struct rq *r, const struct be *source)
 {
-	struct place_job now = {.prompt = rq_held(r)};
+	struct place_job now = {.prompt = rq_expected_memory(r)};
 	struct choice *c;
 	int i;
 
-	r->parts = ro_parts(r->service->name, 0);
+	r->rollout_parts = ro_parts(r->service->name, 0);
 	c = collect(r, &now, source->zone, source);
 	for (i = 0; i < c->n; i++)
-		if (!can_be_moved_to(c->at[i])) c->s[i].usable = 0;
+		if (!can_take_move(c->at[i])) c->s[i].usable = 0;
 	return chosen(c, place_move(c->s, c->n, &now, g_random_int()));
 }
 
 /* Some that refuse connections are not ejected, as too many are: those look emptiest. */
-struct be *rq_pick_backup(struct leg *l)
+struct be *rq_pick_replica(struct attempt *att)
 {
-	struct rq *r = l->rq;
-	struct place_job now = {.prompt = rq_held(r)};
+	struct rq *r = att->rq;
+	struct place_job now = {.prompt = rq_expected_memory(r)};
 	struct choice *c;
 	int i;
 
 	if (r->route->resumable || r->route->kind != CONF_STREAM) return NULL;
-	r->parts = ro_parts(r->service->name, 0);
-	c = collect(r, &now, l->be->zone, l->be);
+	r->rollout_parts = ro_parts(r->service->name, 0);
+	c = collect(r, &now, att->be->zone, att->be);
 	for (i = 0; i < c->n; i++)
 		if (c->at[i]->refused) c->s[i].usable = 0;
 	return chosen(c, place_backup(c->s, c->n, -1, &now, BACKUP_PERCENT, g_random_int()));
--- a/src/relay/rq_poison.c
+++ b/src/relay/rq_quarantine.c
@@ -9,13 +9,14 @@
 
 /* Whether a server ended is found out by a connection to it: one that is there takes it in some
  * ms, one that ended refuses it. */
-#define FIND_OUT_US 400000
+#define CHECK_TIMEOUT_US 400000
 /* After that the last exchanges that it ended have been noticed, too. */
 #define COLLECT_US 30000
 /* A stream that goes on for so long after its first event has come through as far as its engine
  * is concerned: what ends engines does so as it begins. */
-#define BEGUN_US 1000000
-#define FLOWING_US 500000 /* its last event is no older: else its engine may have ended */
+#define PROVEN_AFTER_US 1000000
+#define EVENT_AGE_MAX_US 500000 /* its last event is no older: else its engine may have ended \
+				 */
 /* Runs of the same under way have answered by then, or ended their servers. */
 #define RETRY_SUSPECT_US 1000000
 
@@ -24,9 +25,9 @@
 	struct cn probe;
 	struct ev_timer timer;
 	struct be *be;
-	GArray *run; /* of struct poison_run */
+	GArray *runs; /* of struct poison_run */
 	int64_t at_us;
-	int ended; /* it takes no connections */
+	int crashed; /* it takes no connections */
 };
 
 static GPtrArray *checks;
@@ -43,25 +44,25 @@
 	return NULL;
 }
 
-static void on_found_out(struct ev_timer *t)
+static void on_check_done(struct ev_timer *t)
 {
 	struct crash_check *ck =
 		(struct crash_check *)((char *)t - offsetof(struct crash_check, timer));
 
-	if (ck->ended)
-		poison_ended(ck->be, (const struct poison_run *)(void *)ck->run->data,
-			     (int)ck->run->len, ck->at_us);
+	if (ck->crashed)
+		poison_ended(ck->be, (const struct poison_run *)(void *)ck->runs->data,
+			     (int)ck->runs->len, ck->at_us);
 	g_ptr_array_remove_fast(checks, ck);
 	cn_reset(&ck->probe);
 	be_unref(ck->be);
-	g_array_free(ck->run, TRUE);
+	g_array_free(ck->runs, TRUE);
 	ev_free_later(ck);
 }
 
-static void has_ended(struct crash_check *ck)
+static void mark_crashed(struct crash_check *ck)
 {
-	if (ck->ended) return;
-	ck->ended = 1;
+	if (ck->crashed) return;
+	ck->crashed = 1;
 	ev_in(&ck->timer, COLLECT_US);
 }
 
@@ -80,7 +81,7 @@
 static void on_probe_end(struct cn *c, int err)
 {
 	cn_reset(c);
-	if (err == -ECONNREFUSED) has_ended((struct crash_check *)c);
+	if (err == -ECONNREFUSED) mark_crashed((struct crash_check *)c);
 }
 
 static struct crash_check *check_new(struct be *b)
@@ -88,60 +89,61 @@
 	struct crash_check *ck = g_new0(struct crash_check, 1);
 
 	ck->be = be_ref(b);
-	ck->run = g_array_new(FALSE, FALSE, sizeof(struct poison_run));
+	ck->runs = g_array_new(FALSE, FALSE, sizeof(struct poison_run));
 	ck->at_us = clock_us();
-	ck->timer.fire = on_found_out;
+	ck->timer.fire = on_check_done;
 	ck->probe = (struct cn){
 		.on_up = on_probe_up, .on_data = on_probe_data, .on_end = on_probe_end};
 	if (!checks) checks = g_ptr_array_new();
 	g_ptr_array_add(checks, ck);
-	ev_in(&ck->timer, FIND_OUT_US);
+	ev_in(&ck->timer, CHECK_TIMEOUT_US);
 	met_add(MET_PROBES, 1);
-	if (cn_connect(&ck->probe, &b->sa) == -ECONNREFUSED) has_ended(ck);
+	if (cn_connect(&ck->probe, &b->sa) == -ECONNREFUSED) mark_crashed(ck);
 	return ck;
 }
 
 /* Closed by the server's side, with no word before that it leaves. */
-static int may_have_ended(const struct be *b, int err)
+static int may_have_crashed(const struct be *b, int err)
 {
 	return !be_leaves(b) && (err == -EPIPE || err == -ECONNRESET);
 }
 
-void leg_note_broken(const struct leg *l, int err)
+void att_note_broken(const struct attempt *att, int err)
 {
-	struct poison_run run = {.fp = *rq_fp(l->rq), .ran_us = clock_us() - l->sent_us};
-	struct crash_check *ck = find_check(l->be);
+	struct poison_run run = {.fp = *rq_fp(att->rq), .ran_us = clock_us() - att->sent_us};
+	struct crash_check *ck = find_check(att->be);
 
-	if (!ck && !may_have_ended(l->be, err)) return;
-	if (!ck) ck = check_new(l->be);
-	g_array_append_val(ck->run, run);
+	if (!ck && !may_have_crashed(att->be, err)) return;
+	if (!ck) ck = check_new(att->be);
+	g_array_append_val(ck->runs, run);
 }
 
-void leg_note_refused(const struct leg *l)
+void att_note_refused(const struct attempt *att)
 {
-	struct crash_check *ck = find_check(l->be);
+	struct crash_check *ck = find_check(att->be);
 
-	if (ck) has_ended(ck);
+	if (ck) mark_crashed(ck);
 }
 
-void leg_note_life_over(const struct be *b)
+void rq_note_incarnation_over(const struct be *b)
 {
 	struct crash_check *ck = find_check(b);
 
-	if (ck) has_ended(ck);
+	if (ck) mark_crashed(ck);
 }
 
 static int is_unanswered(const struct rq *r)
 {
-	return r->leg && r->leg->hx && !r->leg->answered;
+	return r->attempt && r->attempt->hx && !r->attempt->answered;
 }
 
-static int has_come_through(const struct rq *r)
+static int is_proven(const struct rq *r)
 {
-	const struct leg *l = r->leg;
+	const struct attempt *att = r->attempt;
 
-	if (!l || !l->hx || !l->first_us || clock_us() - r->event_us > FLOWING_US) return 0;
-	return r->event_us - l->first_us >= BEGUN_US;
+	if (!att || !att->hx || !att->first_us || clock_us() - r->event_us > EVENT_AGE_MAX_US)
+		return 0;
+	return r->event_us - att->first_us >= PROVEN_AFTER_US;
 }
 
 /* Runs that broke off a moment ago: whether their servers ended is being found out. */
@@ -152,8 +154,8 @@
 	for (i = 0; checks && i < checks->len; i++) {
 		const struct crash_check *ck = g_ptr_array_index(checks, i);
 
-		for (k = 0; k < ck->run->len; k++)
-			n += fp_equal(&g_array_index(ck->run, struct poison_run, k).fp, fp);
+		for (k = 0; k < ck->runs->len; k++)
+			n += fp_equal(&g_array_index(ck->runs, struct poison_run, k).fp, fp);
 	}
 	return n;
 }
@@ -170,19 +172,19 @@
 	return n;
 }
 
-static uint32_t look(const struct fp *fp, int *through)
+static uint32_t count_runs(const struct fp *fp, int *completed)
 {
 	uint32_t i;
 
-	for (i = 0; i < rq_all->len && !*through; i++) {
+	for (i = 0; i < rq_all->len && !*completed; i++) {
 		struct rq *r = g_ptr_array_index(rq_all, i);
 
-		if (has_come_through(r)) *through = fp_equal(rq_fp(r), fp);
+		if (is_proven(r)) *completed = fp_equal(rq_fp(r), fp);
 	}
 	return count_unanswered(fp, NULL);
 }
 
-static void on_blocked(const struct fp *fp)
+static void on_quarantined(const struct fp *fp)
 {
 	uint32_t i;
 
@@ -191,16 +193,16 @@
 
 		if (i >= rq_all->len) continue; /* some ended meanwhile */
 		r = g_ptr_array_index(rq_all, i);
-		if (fp_equal(rq_fp(r), fp)) rq_block(r);
+		if (fp_equal(rq_fp(r), fp)) rq_refuse_quarantined(r);
 	}
 }
 
-void rq_came_through(struct rq *r)
+void rq_note_completed_run(struct rq *r)
 {
 	poison_came_through(rq_fp(r));
 }
 
-int rq_is_held_off(struct rq *r)
+int rq_check_quarantine(struct rq *r)
 {
 	const struct fp *fp;
 
@@ -209,7 +211,7 @@
 	switch (poison_ask(fp, count_unanswered(fp, r))) {
 	case QUAR_FREE: return 0;
 	case QUAR_TRIAL: r->on_trial = 1; return 0;
-	case QUAR_BLOCKED: rq_block(r); return 1;
+	case QUAR_BLOCKED: rq_refuse_quarantined(r); return 1;
 	case QUAR_WAIT: break;
 	}
 	rq_refuse(r, REF_SUSPECT, RETRY_SUSPECT_US,
@@ -217,9 +219,9 @@
 	return 1;
 }
 
-void rq_poison_start(int first_start)
+void rq_quarantine_start(int first_start)
 {
-	static const struct poison_hooks hooks = {on_blocked, look};
+	static const struct poison_hooks hooks = {on_quarantined, count_runs};
 
 	poison_start(first_start, &hooks);
 }
--- /dev/null
+++ b/src/relay/rq_queue.c
@@ -0,0 +1,70 @@
+/* Requests that wait before they are sent: the most urgent first, then the oldest. */
+#include "rq_impl.h"
+#include <string.h>
+
+#define POLL_US 10000 /* how often what waits is looked at */
+
+static GPtrArray *queue;
+static struct ev_timer timer;
+
+static int precedes(const struct rq *a, const struct rq *b)
+{
+	int ra = rq_rank(a), rb = rq_rank(b);
+
+	return ra != rb ? ra < rb : a->began_us < b->began_us;
+}
+
+void rq_queue_leave(struct rq *r)
+{
+	if (r->waiting == RQ_WAIT_NONE) return;
+	r->waiting = RQ_WAIT_NONE;
+	g_ptr_array_remove(queue, r);
+	met_set(MET_G_WAITING, queue->len);
+}
+
+void rq_queue_ahead(const struct rq *r, enum rq_wait_reason what,
+		    void (*f)(const struct rq *other, void *arg), void *arg)
+{
+	uint32_t i;
+
+	for (i = 0; queue && i < queue->len; i++) {
+		const struct rq *o = g_ptr_array_index(queue, i);
+
+		if (o == r || o->waiting != what || !precedes(o, r)) continue;
+		if (!strcmp(o->service->name, r->service->name)) f(o, arg);
+	}
+}
+
+/* 1 when it was sent or refused, 0 when it still waits. */
+static int recheck(struct rq *r)
+{
+	switch (r->waiting) {
+	case RQ_WAIT_MEMORY: return rq_recheck_memory(r);
+	case RQ_WAIT_RATE: return rq_recheck_rate(r);
+	case RQ_WAIT_NONE: break;
+	}
+	return 0;
+}
+
+static void on_timer(struct ev_timer *t)
+{
+	uint32_t i = 0;
+
+	while (i < queue->len)
+		if (!recheck(g_ptr_array_index(queue, i))) i++;
+	if (queue->len) ev_in(t, POLL_US);
+}
+
+void rq_queue_join(struct rq *r, enum rq_wait_reason what)
+{
+	uint32_t i;
+
+	if (!queue) queue = g_ptr_array_new();
+	for (i = queue->len; i > 0; i--)
+		if (!precedes(r, g_ptr_array_index(queue, i - 1))) break;
+	g_ptr_array_insert(queue, (int)i, r);
+	r->waiting = what;
+	met_set(MET_G_WAITING, queue->len);
+	timer.fire = on_timer;
+	if (!timer.armed) ev_in(&timer, POLL_US);
+}
--- a/src/relay/rq_turn.c
+++ b/src/relay/rq_rate.c
@@ -9,12 +9,13 @@
 #include "pace.h"
 #include "rq_impl.h"
 
-#define ANSWER_TIMES 2    /* of the usual time of an answer: some take as long */
+#define ANSWER_FACTOR 2   /* of the usual time of an answer: some take as long */
 #define LEFT_MIN_US 50000 /* never less: turns come late by some ms */
-#define SPREAD_PART 4     /* those that are refused together come back over such a part of it */
+#define SPREAD_DIVISOR 4  /* those that are refused together come back over such a part of it \
+			   */
 
 /* The next turns at the service's servers, without those that get no new work. */
-struct turns {
+struct send_slots {
 	const struct rq *r;
 	int64_t now, least;
 	uint32_t parts;
@@ -24,12 +25,12 @@
 	int n;
 };
 
-static int add_turn(struct be *b, void *arg)
+static int add_server(struct be *b, void *arg)
 {
-	struct turns *t = arg;
+	struct send_slots *t = arg;
 	int64_t in_us = be_usable_in(b, t->now), wait_us;
 
-	if (in_us == INT64_MAX || !ro_is(b, t->parts) || !rq_allows(t->r, b)) return 1;
+	if (in_us == INT64_MAX || !ro_is(b, t->parts) || !rq_region_allowed(t->r, b)) return 1;
 	wait_us = pace_wait_us(b, t->r->service, t->now);
 	t->s[t->n].first_us = MAX(in_us, wait_us);
 	t->s[t->n].gap_us = pace_gap_us(b, t->r->service, t->now);
@@ -40,9 +41,9 @@
 	return ++t->n < PLACE_SITES_MAX;
 }
 
-static struct turns *collect(const struct rq *r)
+static struct send_slots *collect(const struct rq *r)
 {
-	static struct turns t;
+	static struct send_slots t;
 
 	t.r = r;
 	t.now = clock_us();
@@ -51,17 +52,17 @@
 	t.first = NULL;
 	t.answer_us = 0;
 	t.n = 0;
-	be_walk(r->service->name, rq_cfg->data_centre, rq_own_place(), add_turn, &t);
+	be_walk(r->service->name, rq_cfg->data_centre, rq_walk_start(), add_server, &t);
 	return &t;
 }
 
 /* What it takes at the least after its turn has come. */
 static int64_t answer_us(const struct rq *r)
 {
-	return MAX((int64_t)collect(r)->answer_us * ANSWER_TIMES, LEFT_MIN_US);
+	return MAX((int64_t)collect(r)->answer_us * ANSWER_FACTOR, LEFT_MIN_US);
 }
 
-static void count(const struct rq *o, void *n)
+static void count_one(const struct rq *o, void *n)
 {
 	(void)o;
 	(*(uint32_t *)n)++;
@@ -69,13 +70,13 @@
 
 /* Microseconds until r's turn; QUOTA_NEVER: none is foreseen. first: the server that has the
  * next one. */
-static int64_t turn_us(const struct rq *r, struct be **first)
+static int64_t send_slot_us(const struct rq *r, struct be **first)
 {
-	struct turns *t = collect(r);
+	struct send_slots *t = collect(r);
 	uint32_t ahead = 0;
 
 	if (t->first) *first = t->first;
-	rq_line_ahead(r, RQ_WAITS_TURN, count, &ahead);
+	rq_queue_ahead(r, RQ_WAIT_RATE, count_one, &ahead);
 	return quota_turn_us(t->s, t->n, ahead);
 }
 
@@ -84,7 +85,7 @@
 	return clock_us() + wait_us + answer_us(r) <= r->end_us;
 }
 
-static void log_held_back(const struct rq *r, struct be *b, int64_t wait_us)
+static void log_rate_wait(const struct rq *r, struct be *b, int64_t wait_us)
 {
 	GString *g = jlog_begin("relay", "request_held_back");
 
@@ -102,44 +103,44 @@
 	int64_t spread;
 
 	if (pace_is_others(first)) wait_us = MIN(wait_us, RETRY_LATER_US);
-	spread = MIN(wait_us / SPREAD_PART, G_MAXINT32 - 1);
+	spread = MIN(wait_us / SPREAD_DIVISOR, G_MAXINT32 - 1);
 
-	rq_stop_waiting(r);
+	rq_queue_leave(r);
 	rq_refuse(r, REF_PACED, wait_us + g_random_int_range(0, (gint32)spread + 1),
 		  "its servers take no more from this instance within its time");
 }
 
-void rq_note_paced(const struct rq *r)
+void rq_log_rate_wait(const struct rq *r)
 {
 	struct be *first = NULL;
-	int64_t wait_us = turn_us(r, &first);
+	int64_t wait_us = send_slot_us(r, &first);
 
-	if (first && wait_us && wait_us != QUOTA_NEVER) log_held_back(r, first, wait_us);
+	if (first && wait_us && wait_us != QUOTA_NEVER) log_rate_wait(r, first, wait_us);
 }
 
-int rq_wait_turn(struct rq *r)
+int rq_wait_for_rate(struct rq *r)
 {
 	struct be *first = NULL;
-	int64_t wait_us = turn_us(r, &first);
+	int64_t wait_us = send_slot_us(r, &first);
 
 	if (wait_us == QUOTA_NEVER) return 0;
-	log_held_back(r, first, wait_us);
+	log_rate_wait(r, first, wait_us);
 	if (!in_time(r, wait_us)) {
 		refuse(r, first, wait_us);
 		return 1;
 	}
 	met_add(MET_TURNS_WAITED, 1);
-	rq_line_join(r, RQ_WAITS_TURN);
+	rq_queue_join(r, RQ_WAIT_RATE);
 	return 1;
 }
 
-int rq_turn_try(struct rq *r)
+int rq_recheck_rate(struct rq *r)
 {
 	struct be *first = NULL;
-	int64_t wait_us = turn_us(r, &first);
+	int64_t wait_us = send_slot_us(r, &first);
 
 	if (wait_us == QUOTA_NEVER || rq_pick(r, NULL)) {
-		rq_stop_waiting(r);
+		rq_queue_leave(r);
 		rq_place(r);
 		return 1;
 	}
--- a/src/relay/rq_rollout.c
+++ b/src/relay/rq_rollout.c
@@ -5,19 +5,19 @@
 #include "rq_impl.h"
 
 /* Of a stream the time to its first event: how long the rest takes is the request's. */
-static int64_t took_us(const struct leg *l)
+static int64_t took_us(const struct attempt *att)
 {
-	if (l->from_copy || l->was_cold) return -1;
-	return (l->first_us ? l->first_us : clock_us()) - l->sent_us;
+	if (att->from_copy || att->was_cold) return -1;
+	return (att->first_us ? att->first_us : clock_us()) - att->sent_us;
 }
 
-void leg_note_cold(struct leg *l)
+void att_note_cold(struct attempt *att)
 {
-	l->was_cold = pace_cold_until_us(l->be, l->rq->service, clock_us()) != 0 ||
-		      l->be->cold_until_us > clock_us();
+	att->was_cold = pace_cold_until_us(att->be, att->rq->service, clock_us()) != 0 ||
+			att->be->cold_until_us > clock_us();
 }
 
-void leg_tell_version(const struct leg *l, enum ro_end how)
+void att_report_outcome(const struct attempt *att, enum ro_end how)
 {
-	ro_ended(l->be, g_str_hash(l->rq->route->name), how, took_us(l));
+	ro_ended(att->be, g_str_hash(att->rq->route->name), how, took_us(att));
 }
--- a/src/relay/rq_send.c
+++ b/src/relay/rq_send.c
@@ -8,15 +8,15 @@
 #define LEFT_MIN_US 2000 /* with less time left nothing is sent any more */
 #define PRIORITY_STEP 3  /* workspaces before routes: three ranks of routes in each */
 
-void leg_free(struct leg *l)
+void att_free(struct attempt *att)
 {
-	if (!l) return;
-	if (l->hx) hx_cancel(l->hx);
-	if (l->backup && !l->copy_freed) leg_leave_copy(l);
-	leg_count_out(l);
-	be_unref(l->be);
-	evs_free(&l->evs);
-	ev_free_later(l);
+	if (!att) return;
+	if (att->hx) hx_cancel(att->hx);
+	if (att->replica && !att->replica_freed) att_leave_replica(att);
+	att_count_out(att);
+	be_unref(att->be);
+	evs_free(&att->evs);
+	ev_free_later(att);
 }
 
 int rq_rank(const struct rq *r)
@@ -29,21 +29,21 @@
 }
 
 /* As engines are told it; -1: another server, which isn't. */
-static int priority(const struct rq *r)
+static int engine_priority(const struct rq *r)
 {
 	return r->service->engine ? rq_rank(r) : -1;
 }
 
-static GString *write_request(const struct leg *l, const char *copy_at, const char *copy)
+static GString *write_request(const struct attempt *att, const char *copy_at, const char *copy)
 {
-	const struct rq *r = l->rq;
+	const struct rq *r = att->rq;
 	GString *out = g_string_sized_new(1024 + r->h->body->len);
 	struct dl_send s = {
-		.backend = l->be->id,
+		.backend = att->be->id,
 		.group = r->group ? r->group->name : NULL,
 		.deadline_us = r->end_us - clock_us(),
-		.priority = copy ? 0 : priority(r),
-		.backup_at = l->backup ? l->backup->address : NULL,
+		.priority = copy ? 0 : engine_priority(r),
+		.backup_at = att->replica ? att->replica->address : NULL,
 		.copy_at = copy_at,
 		.copy = copy,
 		.resume_after = r->seen.id[0] ? r->seen.id : NULL,
@@ -53,19 +53,19 @@
 	return out;
 }
 
-static void log_sent(const struct leg *l, const char *copy)
+static void log_sent(const struct attempt *att, const char *copy)
 {
-	const struct rq *r = l->rq;
+	const struct rq *r = att->rq;
 	struct be_load all;
 	GString *g;
 
 	if (!r->service->engine && r->sends < 2) return; /* its end tells as much */
-	all = rq_load_of(l->be);
+	all = rq_total_load(att->be);
 	g = jlog_begin("relay", "request_sent");
 	jlog_str(g, "request", r->in.id);
 	jlog_str(g, "service", r->service->name);
-	jlog_str(g, "backend", l->be->id);
-	jlog_str(g, "backup", l->backup ? l->backup->id : NULL);
+	jlog_str(g, "backend", att->be->id);
+	jlog_str(g, "backup", att->replica ? att->replica->id : NULL);
 	jlog_str(g, "copy", copy);
 	jlog_str(g, "after_event", r->seen.id[0] ? r->seen.id : NULL);
 	jlog_int(g, "send", r->sends);
@@ -78,34 +78,35 @@
 	jlog_end(g);
 }
 
-struct leg *leg_start(struct rq *r, struct be *b, const struct be *copy_at, const char *copy)
+struct attempt *att_start(struct rq *r, struct be *b, const struct be *copy_at,
+			  const char *copy)
 {
-	struct leg *l = g_new0(struct leg, 1);
+	struct attempt *att = g_new0(struct attempt, 1);
 	int rc;
 
-	l->rq = r;
-	l->be = be_ref(b);
-	l->from_copy = copy != NULL;
-	l->reading = r->service->engine && !copy;
-	l->sent_us = clock_us();
-	if (r->service->backups) l->backup = rq_pick_backup(l);
-	if (l->backup) be_ref(l->backup);
-	evs_init(&l->evs);
+	att->rq = r;
+	att->be = be_ref(b);
+	att->from_copy = copy != NULL;
+	att->prompt_unread = r->service->engine && !copy;
+	att->sent_us = clock_us();
+	if (r->service->backups) att->replica = rq_pick_replica(att);
+	if (att->replica) be_ref(att->replica);
+	evs_init(&att->evs);
 	r->sends++;
-	leg_note_cold(l);
+	att_note_cold(att);
 	ro_sent(b, r->sends == 1);
-	log_sent(l, copy);
-	l->hx = hx_new(l);
-	l->hx->on_up = leg_on_up;
-	l->hx->on_head = leg_on_head;
-	l->hx->on_body = leg_on_body;
-	l->hx->on_end = leg_on_end;
-	leg_count_in(l);
-	rc = bx_start(l->hx, b, write_request(l, copy_at ? copy_at->address : NULL, copy),
+	log_sent(att, copy);
+	att->hx = hx_new(att);
+	att->hx->on_up = att_on_up;
+	att->hx->on_head = att_on_head;
+	att->hx->on_body = att_on_body;
+	att->hx->on_end = att_on_end;
+	att_count_in(att);
+	rc = bx_start(att->hx, b, write_request(att, copy_at ? copy_at->address : NULL, copy),
 		      RQ_CONNECT_US);
-	if (!rc) return l;
-	l->hx = NULL;
-	leg_free(l);
+	if (!rc) return att;
+	att->hx = NULL;
+	att_free(att);
 	return NULL;
 }
 
@@ -114,11 +115,11 @@
 {
 	struct conf *c = board_conf();
 
-	if (c != r->conf && !rq_key_known(r, c)) {
+	if (c != r->conf && !rq_key_is_valid(r, c)) {
 		rq_refuse(r, REF_UNAUTHORIZED, 0, "the key was taken away");
 		return 0;
 	}
-	if (rq_confirmed(r)) return 1;
+	if (rq_conf_is_confirmed(r)) return 1;
 	rq_refuse(r, REF_PLATFORM_DOWN, RETRY_LATER_US, "the configuration is not confirmed");
 	return 0;
 }
@@ -131,7 +132,7 @@
 
 void rq_place(struct rq *r)
 {
-	const struct be *last = r->leg ? r->leg->be : NULL;
+	const struct be *last = r->attempt ? r->attempt->be : NULL;
 	struct be *b;
 
 	if (!mesh_is_awake()) {
@@ -139,26 +140,27 @@
 			  "this instance stood still and has not heard from others since");
 		return;
 	}
-	if (!still_allowed(r) || rq_is_held_off(r)) return;
+	if (!still_allowed(r) || rq_check_quarantine(r)) return;
 	b = rq_pick(r, last);
 	if (!b && last) b = rq_pick(r, NULL);
-	if (rq_wait(r, b)) return;
+	if (rq_wait_for_memory(r, b)) return;
 	if (!b && be_only_drained(r->service->name)) {
 		rq_refuse_drained(r);
 		return;
 	}
-	if (!b && rq_wait_turn(r)) return;
+	if (!b && rq_wait_for_rate(r)) return;
 	if (!b) {
 		rq_refuse(r, REF_NO_ENGINE, RETRY_LATER_US,
 			  "no usable backend server is known");
 		return;
 	}
-	if (r->end_us - clock_us() < LEFT_MIN_US || !rq_in_time(r, b)) {
+	if (r->end_us - clock_us() < LEFT_MIN_US || !rq_can_answer_in_time(r, b)) {
 		rq_refuse(r, REF_BUSY, RETRY_LATER_US, "too little time is left");
 		return;
 	}
 	if (r->service->engine) rq_count_placed();
-	leg_free(r->leg);
-	r->leg = leg_start(r, b, NULL, NULL);
-	if (!r->leg) rq_refuse(r, REF_INTERNAL, RETRY_LATER_US, "no connection can be made");
+	att_free(r->attempt);
+	r->attempt = att_start(r, b, NULL, NULL);
+	if (!r->attempt)
+		rq_refuse(r, REF_INTERNAL, RETRY_LATER_US, "no connection can be made");
 }
--- a/src/relay/rq_silent.c
+++ b/src/relay/rq_silent.c
@@ -6,75 +6,76 @@
 #include "probe.h"
 #include "rq_impl.h"
 
-#define ASK_GAPS 2 /* silence of so many of the route's pauses: its engine is asked */
+#define REPORT_GAPS 2 /* silence of so many of the route's pauses: its engine is asked */
 /* Never sooner: a lost packet is sent again after as long. */
-#define ASK_MIN_US 200000
-#define ASK_AGAIN_US 100000 /* reports are some hundred ms old */
-#define LOOK_US 250000      /* at most, between two looks at a stream */
-#define LOOK_MIN_US 1000    /* timers fire a millisecond early */
+#define REPORT_AFTER_MIN_US 200000
+#define REPORT_INTERVAL_US 100000 /* reports are some hundred ms old */
+#define CHECK_US 250000           /* at most, between two looks at a stream */
+#define CHECK_MIN_US 1000         /* timers fire a millisecond early */
 
-static int64_t ask_us(const struct rq *r)
+static int64_t report_after_us(const struct rq *r)
 {
-	if (!r->event_us) return rq_patience_us(r);
-	return MAX(r->route->gap_us * ASK_GAPS, ASK_MIN_US) + rq_reading_us(r);
+	if (!r->event_us) return rq_answer_timeout_us(r);
+	return MAX(r->route->gap_us * REPORT_GAPS, REPORT_AFTER_MIN_US) + rq_prefill_us(r);
 }
 
 /* An engine that has put a run off for lack of memory has nothing to hand on for some seconds:
  * it is asked less and less often. */
-static int64_t stall_us(const struct rq *r)
+static int64_t stall_limit_us(const struct rq *r)
 {
-	return rq_stall_us(r) * (1 + r->stalls);
+	return rq_stall_timeout_us(r) * (1 + r->stalls);
 }
 
-static int64_t ask_again_us(const struct rq *r)
+static int64_t report_interval_us(const struct rq *r)
 {
-	if (!r->event_us) return MAX(r->route->aim_us, ASK_AGAIN_US);
-	return r->stalls ? rq_stall_us(r) : ASK_AGAIN_US;
+	if (!r->event_us) return MAX(r->route->aim_us, REPORT_INTERVAL_US);
+	return r->stalls ? rq_stall_timeout_us(r) : REPORT_INTERVAL_US;
 }
 
 /* One whose caller has not taken what came is not read from; one that waits for another engine
  * is leaving already. */
 static int may_be_silent(const struct rq *r)
 {
-	if (r->waiting != RQ_WAITS_NOT) return 0;
-	return r->leg && r->leg->hx && r->move.state == MOVE_NONE && !cn_pending(&r->h->cn);
+	if (r->waiting != RQ_WAIT_NONE) return 0;
+	return r->attempt && r->attempt->hx && r->move.state == MOVE_NONE &&
+	       !cn_pending(&r->h->cn);
 }
 
 /* It goes on from its running copy. Without one its memory is asked for. */
-void silent_leave(struct rq *r)
+void silent_recover(struct rq *r)
 {
 	if (r->event_us) r->event_us = clock_us();
 	r->stalls++;
-	if (move_to_backup(r)) move_from_silent(r);
+	if (move_to_replica(r)) move_from_silent(r);
 }
 
-void silent_ask(struct rq *r)
+void silent_request_report(struct rq *r)
 {
-	if (!may_be_silent(r) || rq_is_at_work(r)) return;
-	if (rq_silence_us(r) >= ask_us(r)) probe_ask_report(r->leg->be);
+	if (!may_be_silent(r) || rq_engine_is_busy(r)) return;
+	if (rq_silence_us(r) >= report_after_us(r)) probe_ask_report(r->attempt->be);
 }
 
-void silent_look(struct rq *r)
+void silent_check(struct rq *r)
 {
 	if (!may_be_silent(r)) return;
-	if (!r->event_us || rq_silence_us(r) < stall_us(r)) {
-		silent_ask(r);
+	if (!r->event_us || rq_silence_us(r) < stall_limit_us(r)) {
+		silent_request_report(r);
 		return;
 	}
-	if (!rq_is_at_work(r)) be_failed(r->leg->be, "silent");
-	silent_leave(r);
+	if (!rq_engine_is_busy(r)) be_failed(r->attempt->be, "silent");
+	silent_recover(r);
 }
 
-int64_t silent_next_look_us(const struct rq *r)
+int64_t silent_next_check_us(const struct rq *r)
 {
 	int64_t silent_us, left_us;
 
-	if (!may_be_silent(r)) return LOOK_US;
+	if (!may_be_silent(r)) return CHECK_US;
 	silent_us = rq_silence_us(r);
-	left_us = ask_us(r) - silent_us;
-	if (left_us > 0) return MIN(left_us, LOOK_US);
-	left_us = r->event_us ? MAX(stall_us(r) - silent_us, LOOK_MIN_US) : INT64_MAX;
-	return MIN(left_us, ask_again_us(r));
+	left_us = report_after_us(r) - silent_us;
+	if (left_us > 0) return MIN(left_us, CHECK_US);
+	left_us = r->event_us ? MAX(stall_limit_us(r) - silent_us, CHECK_MIN_US) : INT64_MAX;
+	return MIN(left_us, report_interval_us(r));
 }
 
 static void log_silent(const struct rq *r, uint32_t made)
@@ -82,7 +83,7 @@
 	GString *g = jlog_begin("relay", "connection_silent");
 
 	jlog_str(g, "request", r->in.id);
-	jlog_str(g, "backend", r->leg->be->id);
+	jlog_str(g, "backend", r->attempt->be->id);
 	jlog_int(g, "silent_ms", rq_silence_us(r) / 1000);
 	jlog_int(g, "events", r->seen.count);
 	jlog_int(g, "made", made);
@@ -94,9 +95,9 @@
 		     uint32_t *made)
 {
 	if (!r->route || r->route->kind != CONF_STREAM) return 0;
-	if (rq_repeatable(r) && !r->event_us) return 0; /* a new run is no loss */
-	if (!r->leg || r->leg->be != b) return 0;
-	if (!may_be_silent(r) || rq_silence_us(r) < ask_us(r)) return 0;
+	if (rq_retryable(r) && !r->event_us) return 0; /* a new run is no loss */
+	if (!r->attempt || r->attempt->be != b) return 0;
+	if (!may_be_silent(r) || rq_silence_us(r) < report_after_us(r)) return 0;
 	return dl_report_made(p, r->in.id, made) && *made > r->seen.count;
 }
 
@@ -112,6 +113,6 @@
 		if (!is_behind(r, b, p, &made)) continue;
 		log_silent(r, made);
 		met_add(MET_SILENT_CONNECTIONS, 1);
-		if (!rq_repeatable(r) || !rq_repeat_elsewhere(r, 0)) silent_leave(r);
+		if (!rq_retryable(r) || !rq_retry_elsewhere(r, 0)) silent_recover(r);
 	}
 }
--- a/test/test_repeats.c
+++ b/test/test_repeats.c
@@ -6,11 +6,11 @@
 
 #define INSTANCES 3
 #define SERVERS 4
-#define ASKED 30 /* requests of one life */
+#define REQUESTS_EACH 30 /* requests of one life */
 #define RATIO 0.2
 #define STREAMS 12
 #define SLACK 40
-#define ALLOWANCE \
+#define BUDGET_SETTINGS \
 	"bounds.retryBudgetRatio=0.2\nbounds.budgetSlack=40\nbounds.budgetWindowS=10\n"
 
 static int requests; /* of a test, so far */
@@ -24,21 +24,21 @@
 	requests = 0;
 	pw_conf.attempts = SERVERS;
 	pw_conf_write();
-	pw_settings(ALLOWANCE);
+	pw_settings(BUDGET_SETTINGS);
 	for (i = 0; i < SERVERS; i++) pw_server_add("app", 0)->mode = PW_ERROR;
 }
 
 static void ask_all(struct pw_entry **e)
 {
-	struct pw_call *c[INSTANCES * ASKED];
+	struct pw_call *c[INSTANCES * REQUESTS_EACH];
 	int i;
 
-	for (i = 0; i < INSTANCES * ASKED; i++) {
+	for (i = 0; i < INSTANCES * REQUESTS_EACH; i++) {
 		c[i] = pw_ask(e[i % INSTANCES], "POST", "/safe/", 3000);
 		requests++;
 		if (i % INSTANCES == 0) pw_run(5);
 	}
-	for (i = 0; i < INSTANCES * ASKED; i++) pw_call_wait(c[i], 2000);
+	for (i = 0; i < INSTANCES * REQUESTS_EACH; i++) pw_call_wait(c[i], 2000);
 }
 
 static void start_again(struct pw_entry **e)
@@ -57,13 +57,13 @@
 static void instances_that_start_again_repeat_no_more_than_is_allowed(void)
 {
 	struct pw_entry *e[INSTANCES];
-	int life, i;
+	int round, i;
 
 	failing_servers();
 	for (i = 0; i < INSTANCES; i++) e[i] = pw_entry_ready();
 	pw_run(300);
-	for (life = 0; life < 3; life++) {
-		if (life) start_again(e);
+	for (round = 0; round < 3; round++) {
+		if (round) start_again(e);
 		ask_all(e);
 	}
 	CU_ASSERT(pw_repeats() <= RATIO * requests + SLACK);
--- a/test/test_silent.c
+++ b/test/test_silent.c
@@ -13,7 +13,7 @@
 #define TOKENS 3000
 
 static struct pw_server *engine[ENGINES];
-static struct proxy *way[ENGINES];
+static struct proxy *link[ENGINES];
 
 static void add_engine(int i)
 {
@@ -24,7 +24,7 @@
 	s->event_ms = EVENT_MS;
 	pw_address_of(pw_server_ip(), atoi(strchr(s->address, ':') + 1), &to);
 	pw_address_of(pw_ip(ENGINE_PROXY), PW_SERVER + i, &at);
-	way[i] = proxy_new(&at, &to);
+	link[i] = proxy_new(&at, &to);
 	g_snprintf(s->address, sizeof s->address, "%s:%d", pw_ip(ENGINE_PROXY), PW_SERVER + i);
 	pw_server_list(s, "ready");
 	engine[i] = s;
@@ -52,7 +52,7 @@
 {
 	int i;
 
-	for (i = 0; i < ENGINES; i++) proxy_free(way[i]);
+	for (i = 0; i < ENGINES; i++) proxy_free(link[i]);
 	pw_end();
 }
 
@@ -60,7 +60,7 @@
 {
 	int i;
 
-	for (i = 0; i < ENGINES; i++) proxy_silence(way[i]);
+	for (i = 0; i < ENGINES; i++) proxy_silence(link[i]);
 }
 
 /* A second of silence was borne before its memory was asked for: by then the run was over, its
