--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -24,7 +24,7 @@
 #include <string.h>
 
 #define ADDRESSES_MAX 64 /* in one answer of the directory */
-/* At most so many addresses are candidates for one answer. */
+/* The first so many known addresses are candidates for one answer. */
 #define ADDRESSES_CANDIDATES 4096
 /* Of the longest time that callers keep an answer: changes are seen soon. */
 #define TTL_PART 0.4
@@ -195,7 +195,7 @@
 {
 	be_need_us = c->drain_us * LEAVING_PART;
 	be_drain_need_us = c->drain_dc_us * DRAINED_PART;
-	pace_set_cold(c->cold_over, c->cold_slack);
+	pace_set_cold(c->cold_overshoot, c->cold_slack);
 }
 
 int entry_start(struct entry_cfg *c, struct err *e)
@@ -244,7 +244,7 @@
 	cfg->revoke_us = c->revoke_us;
 	cfg->drain_us = c->drain_us;
 	cfg->drain_dc_us = c->drain_dc_us;
-	cfg->cold_over = c->cold_over;
+	cfg->cold_overshoot = c->cold_overshoot;
 	cfg->cold_slack = c->cold_slack;
 	cfg->exposure_share = c->exposure_share;
 	cfg->exposure_slack = c->exposure_slack;
--- a/src/internal/entry_cfg.h
+++ b/src/internal/entry_cfg.h
@@ -36,10 +36,10 @@
 	/* Of the requests to a service, what an unproven version may get: this share, plus a
 	 * number. */
 	double exposure_share, exposure_slack;
-	int64_t grace_us;             /* from the signal to stop until the kill */
-	int64_t answer_ttl_max_us;    /* the longest time for which callers keep an address */
-	double cold_over, cold_slack; /* limits for cold servers: see saddlehead/quota.h */
-	double retry_ratio, retry_slack; /* retries in a window: ratio x requests + slack */
+	int64_t grace_us;          /* from the signal to stop until the kill */
+	int64_t answer_ttl_max_us; /* the longest time for which callers keep an address */
+	double cold_overshoot, cold_slack; /* limits for cold servers: see saddlehead/quota.h */
+	double retry_ratio, retry_slack;   /* retries in a window: ratio x requests + slack */
 	int64_t retry_window_us;
 };
 #endif
--- a/src/internal/rq.h
+++ b/src/internal/rq.h
@@ -22,8 +22,8 @@
 /* An incarnation of a backend server is over: its requests continue elsewhere at once where
  * they can. */
 void rq_on_incarnation_over(struct be *b);
-/* A backend server reported its progress: finds streams that received less than it has
- * generated. */
+/* A backend server reported its progress: finds streams here that have received less than it
+ * has generated for them. */
 void rq_on_report(struct be *b, const struct dl_report *r);
 uint32_t rq_open_count(void);
 /* From now on refuses requests that can't finish before until_us. */
--- a/src/relay/rq_budget.c
+++ b/src/relay/rq_budget.c
@@ -60,8 +60,7 @@
 
 void rq_note_copy_refused(struct rq *r)
 {
-	if (!r->copies_refused++)
-		count_retry(r); /* later ones were counted when they were asked for */
+	if (!r->copies_refused++) count_retry(r); /* later ones: when asked for */
 }
 
 /* Logged once for each request, as the budget is asked again at every check of a silent one. */
--- a/src/relay/rq_move_next.c
+++ b/src/relay/rq_move_next.c
@@ -126,8 +126,7 @@
 
 	r->attempt = r->next;
 	r->next = NULL;
-	if (old->replica == r->attempt->be)
-		old->replica_freed = 1; /* the replica was taken over */
+	if (old->replica == r->attempt->be) old->replica_freed = 1; /* it was taken over */
 	att_free(old);
 	move_log(r, "stream_went_on", 0);
 	r->move.refusals = 0;
--- a/src/relay/rq_silent.c
+++ b/src/relay/rq_silent.c
@@ -96,8 +96,7 @@
 		     uint32_t *made)
 {
 	if (!r->route || r->route->kind != CONF_STREAM) return 0;
-	if (rq_retryable(r) && !r->event_us)
-		return 0; /* without an event nothing is lost by a new run */
+	if (rq_retryable(r) && !r->event_us) return 0; /* a new run loses nothing */
 	if (!r->attempt || r->attempt->be != b) return 0;
 	if (!may_be_silent(r) || rq_silence_us(r) < report_after_us(r)) return 0;
 	return dl_report_made(p, r->in.id, made) && *made > r->seen.count;
--- a/test/test_leave.c
+++ b/test/test_leave.c
@@ -46,7 +46,7 @@
 
 /* A source may run beside its successor for 400 ms at most. It was cancelled only when the
  * successor's first data was read: on a link full of copies of a large configuration that took
- * 413 ms (medians were 91 ms). */
+ * 413 ms (the median was 91 ms). */
 static void a_source_is_let_go_in_time_when_its_successor_answers_late(void)
 {
 	struct pw_entry *e = start_with_engines(2, 200);
@@ -378,8 +378,7 @@
 	}
 	c = pw_ask(e, "POST", "/sum/", 9000);
 	pw_run(400);
-	for (i = 0; i < 2; i++)
-		engines[i]->mode = PW_OK; /* streams that are silent already stay so */
+	for (i = 0; i < 2; i++) engines[i]->mode = PW_OK; /* silent ones stay so */
 	CU_ASSERT(pw_call_wait(c, 3500));
 	CU_ASSERT(pw_stream_whole(c, 60));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
--- a/test/test_relay.c
+++ b/test/test_relay.c
@@ -513,8 +513,7 @@
 	CU_ASSERT(pw_call_wait(c, 3000));
 	CU_ASSERT(c->err != 0);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
-	CU_ASSERT_PTR_NULL(
-		strstr(c->body->str, "id: 99")); /* part of an event that was cut off */
+	CU_ASSERT_PTR_NULL(strstr(c->body->str, "id: 99")); /* part of a cut event */
 	CU_ASSERT(pw_log_has(e, "stream_lost") || pw_log_has(e, "broken_off"));
 	pw_end();
 }
