--- a/src/internal/entry_cfg.h
+++ b/src/internal/entry_cfg.h
@@ -28,7 +28,7 @@
 	struct sockaddr_in seed[ENTRY_SEEDS_MAX]; /* peer ports of some other instances */
 	int nseeds;
 	int first_start;     /* of the whole fleet */
-	int64_t join_us;     /* time by which all instances know one that has started */
+	int64_t join_us;     /* after its start, until all instances have learned of one */
 	int fail_closed;     /* serve keyed requests only under a confirmed configuration */
 	int64_t revoke_us;   /* time after which a removed key runs nothing */
 	int64_t drain_us;    /* time after which a leaving backend server gets nothing */
