--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -1,4 +1,5 @@
-/* What a decision costs, and how that grows: processor time and memory, in one process. */
+/* Measures processor time and memory of decisions, and how they grow with load, in one process.
+ */
 #include "clock.h"
 #include "hash.h"
 #include "tbl.h"
@@ -72,7 +73,8 @@
 	step(&ev);
 }
 
-/* One ticket in, one grant out, one end: with so many waiting all the while. */
+/* Processor time of one cycle (one ticket, one grant, one end) with a constant number of
+ * waiting tickets. */
 static double cycle(uint32_t groups, uint32_t waiting, double *bytes)
 {
 	uint64_t *running = calloc(ENGINES * 64 + waiting + ROUNDS + 64, sizeof *running);
@@ -147,13 +149,13 @@
 
 static void message(const char *name, const struct wire_msg *m)
 {
-	msgpack_unpacked hold;
+	msgpack_unpacked unpacked;
 	struct wire_msg out;
 	msgpack_sbuffer b;
 	int64_t t;
 	int i;
 
-	msgpack_unpacked_init(&hold);
+	msgpack_unpacked_init(&unpacked);
 	msgpack_sbuffer_init(&b);
 	wire_encode(&b, m);
 	printf("wire_%s_bytes %zu\n", name, b.size);
@@ -161,11 +163,11 @@
 	for (i = 0; i < ROUNDS; i++) {
 		msgpack_sbuffer_clear(&b);
 		wire_encode(&b, m);
-		wire_decode(b.data + 4, b.size - 4, &out, &hold);
+		wire_decode(b.data + 4, b.size - 4, &out, &unpacked);
 	}
 	printf("wire_%s_us %.3f\n", name, (double)(clock_cpu_us() - t) / ROUNDS);
 	msgpack_sbuffer_destroy(&b);
-	msgpack_unpacked_destroy(&hold);
+	msgpack_unpacked_destroy(&unpacked);
 }
 
 static void messages(void)
@@ -206,7 +208,7 @@
 	message("ping_full", &m);
 }
 
-/* Memory and time of the view: every engine placed on a member, as at each change. */
+/* Memory of the view, and time to assign every engine to a member, as after each change. */
 static void view_cost(uint32_t members, uint32_t engines)
 {
 	struct mbr_info *m = calloc(members, sizeof *m);
@@ -237,8 +239,7 @@
 	g_string_free(s, TRUE);
 }
 
-/* Gossip in one process: bytes and processor time of a member for a heartbeat, by fleet size.
- */
+/* Memory per member, and processor time of gossip per heartbeat, by fleet size. */
 static void member_cost(uint32_t n)
 {
 	struct mbr_config cfg = {
--- a/bench/bench_place.c
+++ b/bench/bench_place.c
@@ -1,5 +1,5 @@
-/* Placing a generation: what a decision costs, and how long prompts wait where many instances
- * decide by counts of a known age. */
+/* Measures the cost of placing a generation, and how long prompts wait if many instances decide
+ * by loads of a known age. */
 #include "be.h"
 #include "be_ring.h"
 #include "clock.h"
@@ -12,18 +12,18 @@
 
 static void cost(int engines)
 {
-	static struct place_site s[PLACE_SITES_MAX];
+	static struct place_server s[PLACE_SERVERS_MAX];
 	struct place_job j = {3000, 400, 1.0};
 	int64_t from;
 	int i, sum = 0;
 
 	for (i = 0; i < engines; i++)
-		s[i] = (struct place_site){.usable = 1,
-					   .slots = 24,
-					   .tokens = 33640,
-					   .runs = i % 7,
-					   .used = 900 * (i % 7),
-					   .unread = 1000 * (i % 3)};
+		s[i] = (struct place_server){.usable = 1,
+					     .slots = 24,
+					     .tokens = 33640,
+					     .runs = i % 7,
+					     .used = 900 * (i % 7),
+					     .unread = 1000 * (i % 3)};
 	from = clock_us();
 	for (i = 0; i < ROUNDS; i++) {
 		s[i % engines].runs = i % 7;
@@ -50,9 +50,9 @@
 
 			l.age_ms = ages_ms[a];
 			l.instances = instances[k];
-			l.reckons = 0;
+			l.counts_rivals = 0;
 			plain = placing_run(&l);
-			l.reckons = 1;
+			l.counts_rivals = 1;
 			drawn = placing_run(&l);
 			printf("  %3d: %4.0f %5.0f | %3.0f %4.0f", instances[k], plain.mean_ms,
 			       plain.p99_ms, drawn.mean_ms, drawn.p99_ms);
@@ -77,13 +77,13 @@
 	       counts_inbound, waits, r.longs, r.late, r.preempted, r.refused);
 }
 
-/* ---- a choice among the servers of a large fleet ---- */
+/* ---- selection among the servers of a large fleet ---- */
 
 #define FLEET 10000
 #define DATA_CENTRES 6
 
 struct candidates {
-	struct place_site s[PLACE_SITES_MAX];
+	struct place_server s[PLACE_SERVERS_MAX];
 	int64_t now;
 	int n;
 };
@@ -92,13 +92,13 @@
 {
 	struct candidates *c = arg;
 
-	c->s[c->n] = (struct place_site){.usable = be_usable(b, c->now),
-					 .near = b->zone[1] == '0',
-					 .slots = b->slots,
-					 .runs = b->own.runs + b->others.runs,
-					 .tokens = 33640};
+	c->s[c->n] = (struct place_server){.usable = be_usable(b, c->now),
+					   .same_dc = b->zone[1] == '0',
+					   .slots = b->slots,
+					   .runs = b->own.runs + b->others.runs,
+					   .tokens = 33640};
 	c->n += c->s[c->n].usable;
-	return c->n < PLACE_SITES_MAX;
+	return c->n < PLACE_SERVERS_MAX;
 }
 
 static void list_fleet(void)
@@ -145,7 +145,7 @@
 	int m;
 
 	cost(125);
-	cost(PLACE_SITES_MAX);
+	cost(PLACE_SERVERS_MAX);
 	choice();
 	table(160);
 	table(320);
--- a/include/saddlehead/limit.h
+++ b/include/saddlehead/limit.h
@@ -1,19 +1,19 @@
-/* What a backend server said of the requests that it takes, by the newest word: pure functions.
- */
+/* Rate limit that a backend server announces; keeps the newest announcement. Pure functions. */
 #ifndef SADDLEHEAD_LIMIT_H
 #define SADDLEHEAD_LIMIT_H
 #include <stdint.h>
 
 #define LIMIT_NONE (-1.0)
 
-/* One word of it. When the server said it is not known, only that it was not before the request
- * was sent, nor after the answer came. */
-struct limit_word {
-	double per_s; /* requests from all instances together; LIMIT_NONE: any number */
-	int64_t from_us, to_us; /* monotonic; 0: it has said nothing yet */
+/* One announcement. The exact time is unknown: it lies between sending the request and
+ * receiving the response. */
+struct limit_report {
+	double per_s; /* requests per second from all instances together; LIMIT_NONE: unlimited
+		       */
+	int64_t from_us, to_us; /* monotonic clock; 0: nothing was announced yet */
 };
 
-/* Takes w in place of what is known if it is newer. Of two that overlap either may be the newer
- * one: then the stricter one counts. 1 when the number in force changed. */
-int limit_take(struct limit_word *known, const struct limit_word *w);
+/* Replaces current by report if it is newer. If their time spans overlap either may be the
+ * newer one, so the stricter one is kept. Returns 1 if the limit in force changed. */
+int limit_update(struct limit_report *current, const struct limit_report *report);
 #endif
--- a/include/saddlehead/member.h
+++ b/include/saddlehead/member.h
@@ -1,8 +1,9 @@
 /*
- * Membership: which instances are alive, by heartbeats to a few and news passed on by all.
+ * Membership: tracks which instances are alive, by heartbeats to a few members and gossiped
+ * updates.
  *
- * A pure state machine like the decision core: the caller gives the time and carries the
- * messages. What one instance sends a second does not grow with their number.
+ * A pure state machine like the decision core: the caller passes the time and transports the
+ * messages. The rate of messages that one instance sends does not grow with the fleet.
  */
 #ifndef SADDLEHEAD_MEMBER_H
 #define SADDLEHEAD_MEMBER_H
@@ -10,14 +11,14 @@
 
 #define MBR_NAME_MAX 31
 #define MBR_IP_MAX 45
-#define MBR_GOSSIP_MAX 8  /* news that one heartbeat carries */
-#define MBR_WINDOW_MAX 15 /* more, when the other is known to hold another list */
+#define MBR_GOSSIP_MAX 8  /* updates that one heartbeat carries */
+#define MBR_WINDOW_MAX 15 /* additional ones, for a peer whose list differs */
 
-/* In the order in which they override one another at the same incarnation. */
+/* At the same incarnation a later state overrides an earlier one. */
 enum mbr_state { MBR_ALIVE, MBR_LEAVING, MBR_SUSPECT, MBR_DEAD };
 
 struct mbr_info {
-	uint64_t id; /* hash of the name */
+	uint64_t id; /* hash_name(name) */
 	char name[MBR_NAME_MAX + 1], dc[MBR_NAME_MAX + 1], ip[MBR_IP_MAX + 1];
 	uint16_t peer_port, front_port, admin_port;
 	uint64_t incarnation;
@@ -26,10 +27,11 @@
 
 /* Times in microseconds. */
 struct mbr_config {
-	int64_t ack_us;     /* a heartbeat unanswered for so long makes its member suspect */
-	int64_t suspect_us; /* a suspect that has not answered for so long is dead */
-	int64_t forget_us;  /* the dead are remembered for so long */
-	uint32_t seed;      /* of the order in which members are probed */
+	int64_t ack_us;     /* a member that leaves a heartbeat unanswered for this long becomes
+			       suspect */
+	int64_t suspect_us; /* a member that stays suspect for this long is declared dead */
+	int64_t forget_us;  /* dead members are forgotten after this time */
+	uint32_t seed;      /* of the random order in which members are probed */
 };
 
 struct mbr;
@@ -37,28 +39,30 @@
 struct mbr *mbr_new(const struct mbr_info *self, const struct mbr_config *cfg);
 void mbr_free(struct mbr *m);
 
-/* News from elsewhere. Returns 1 when it changed what is known here. */
-int mbr_apply(struct mbr *m, const struct mbr_info *news, int64_t now_us);
+/* Applies an update from a peer. Returns 1 if the local view changed. */
+int mbr_apply(struct mbr *m, const struct mbr_info *update, int64_t now_us);
 
-/* Something came directly from that member: it is alive. Returns 1 on a change. */
-int mbr_heard(struct mbr *m, uint64_t id, int64_t now_us);
+/* Records a message received directly from a member: it is alive. Returns 1 if the local view
+ * changed. */
+int mbr_seen(struct mbr *m, uint64_t id, int64_t now_us);
 
-/* The next members to send a heartbeat to; returns how many of at most max. */
+/* Selects the members to send the next heartbeats to; returns their number, at most max. */
 uint32_t mbr_probe(struct mbr *m, int64_t now_us, struct mbr_info *out, uint32_t max);
 
-/* Suspects and buries by time. Returns 1 on a change. */
+/* Marks members as suspect or dead whose timeouts passed. Returns 1 if a state changed. */
 int mbr_expire(struct mbr *m, int64_t now_us);
 
-/* News to pass on with a heartbeat, least passed on first. */
+/* Selects updates to send with a heartbeat, the least forwarded ones first. */
 uint32_t mbr_gossip(struct mbr *m, struct mbr_info *out, uint32_t max);
 
-/* All that are not dead, this instance included, in no order. */
+/* Lists all members that are not dead, this instance included, in no particular order. */
 uint32_t mbr_list(const struct mbr *m, struct mbr_info *out, uint32_t max);
 int mbr_find(const struct mbr *m, uint64_t id, struct mbr_info *out);
 
-/* The same where the same members are known in the same states; the dead don't count. */
+/* Hash over members and their states, the dead excluded: equal for equal views. */
 uint64_t mbr_hash(const struct mbr *m);
-/* Some members, others at each call: passed on to one whose hash differs. */
+/* Returns the next part of the member list, a different one in each call; sent to a peer whose
+ * hash differs. */
 uint32_t mbr_window(struct mbr *m, struct mbr_info *out, uint32_t max);
 
 void mbr_leave(struct mbr *m);
--- a/include/saddlehead/place.h
+++ b/include/saddlehead/place.h
@@ -1,66 +1,71 @@
-/* Which backend server gets a request: pure functions of what is known. */
+/* Placement: selects the backend server for a request. Pure functions. */
 #ifndef SADDLEHEAD_PLACE_H
 #define SADDLEHEAD_PLACE_H
 #include <stdint.h>
 
-/* Candidates of one choice: more find no better one by what a request costs, and each costs
- * some tens of ns. */
-#define PLACE_SITES_MAX 128
+/* Maximum number of candidates in one selection. More of them don't lead to a noticeably
+ * cheaper server, and each costs some tens of ns. */
+#define PLACE_SERVERS_MAX 128
 
-/* One backend server as a candidate. Loads are those of all instances together. */
-struct place_site {
+/* One candidate. Loads are those from all instances together. */
+struct place_server {
 	int usable;
-	int near;         /* in the same data centre as the one that asks (or as the source) */
-	int away;         /* in another region: what goes there crosses a narrow link */
-	uint32_t slots;   /* requests at once; 0: not told */
-	uint32_t runs;    /* requests on it */
-	uint32_t unread;  /* prompt tokens that wait to be read there */
-	uint32_t held;    /* tokens of memory that its requests have, and soon will */
-	uint32_t backup;  /* the same of copies for requests elsewhere */
-	uint32_t used;    /* tokens of memory that both have now */
-	uint32_t inbound; /* tokens that are being moved there */
-	uint32_t tokens;  /* its memory in tokens; 0: not told */
-	double answer_us; /* moving average of its answers; 0: none yet */
-	/* How little is known of that, 0 to 1: so much of what it lies above the least of all
-	 * is left out. */
-	double doubt;
+	int same_dc; /* in the data centre of the instance that places the request (or of the
+			source server) */
+	int other_region; /* in another region, reached over a slow link */
+	uint32_t slots;   /* maximum of concurrent requests; 0: unknown */
+	uint32_t runs;    /* running requests */
+	uint32_t unread;  /* prompt tokens that wait for prefill */
+	uint32_t held;    /* tokens of memory that its requests use or will use soon */
+	uint32_t replica; /* the same for replicas of requests that run elsewhere */
+	uint32_t used;    /* tokens of memory that both use now */
+	uint32_t inbound; /* tokens of memory that are being transferred to it */
+	uint32_t tokens;  /* capacity of its memory in tokens; 0: unknown */
+	double answer_us; /* moving average of its response times; 0: no sample yet */
+	/* Uncertainty of answer_us, 0 to 1: this share of its excess over the lowest of all
+	 * candidates is ignored. */
+	double uncertainty;
 };
 
 struct place_job {
 	uint32_t prompt; /* tokens */
-	uint32_t growth; /* tokens it will make, as far as foreseen */
-	/* Generations that others send meanwhile, of which this instance can't know. */
+	uint32_t growth; /* expected number of generated tokens */
+	/* Expected number of generations that other instances place before this instance
+	 * receives their updated loads. */
 	double rivals;
 };
 
-/* For a generation: where its memory fits and its first token comes soonest, drawn among as
- * many of the cheapest that its rivals seldom take the same. The index, or -1 when none is
- * usable. */
-int place_generation(const struct place_site *s, int n, const struct place_job *j,
+/* Selects a server for a generation: one whose memory suffices and whose first token comes
+ * soonest. Draws at random among so many of the cheapest that concurrent choosers rarely pick
+ * the same one. Returns the index, or -1 if none is usable. */
+int place_generation(const struct place_server *s, int n, const struct place_job *j,
 		     uint32_t draw);
 
-/* For a generation that runs already and is to be moved: where its memory fits and arrives
- * soonest; else as place_generation. */
-int place_move(const struct place_site *s, int n, const struct place_job *j, uint32_t draw);
+/* Selects a server to move a running generation to: one where its memory fits and arrives
+ * soonest; if there is none, as place_generation. */
+int place_move(const struct place_server *s, int n, const struct place_job *j, uint32_t draw);
 
-/* For a copy of a generation that runs on site main: where memory is free up to percent of it,
- * the copy included. -1: nowhere. */
-int place_backup(const struct place_site *s, int n, int main, const struct place_job *j,
-		 uint32_t percent, uint32_t draw);
+/* Selects a server for a replica of a generation that runs on server main: one whose memory in
+ * use, with the replica, stays within percent of its capacity. Returns -1 if there is none. */
+int place_replica(const struct place_server *s, int n, int source, const struct place_job *j,
+		  uint32_t percent, uint32_t draw);
 
-/* For a plain call: the least busy, the nearer one of equals. -1 when none is usable. */
-int place_call(const struct place_site *s, int n, uint32_t draw);
+/* Selects a server for a plain call: the least busy one; of equal ones the nearer. Returns -1
+ * if none is usable. */
+int place_call(const struct place_server *s, int n, uint32_t draw);
 
-/* Whether a plain call with so much time left can still be expected to be answered there. */
-int place_call_in_time(const struct place_site *s, int64_t left_us);
+/* Whether a plain call with this much time left can still be expected to complete there. */
+int place_call_in_time(const struct place_server *s, int64_t left_us);
 
-/* Whether a generation's memory fits there without pressing others out. */
-int place_fits(const struct place_site *s, const struct place_job *j);
+/* Whether a generation's memory fits there without preempting others. */
+int place_fits(const struct place_server *s, const struct place_job *j);
 
-/* Microseconds in which an engine reads so many prompt tokens between those that it makes. */
-int64_t place_reading_us(uint32_t tokens);
+/* Time in microseconds in which an engine prefills this many prompt tokens while it also
+ * decodes. */
+int64_t place_prefill_us(uint32_t tokens);
 
-/* Whether a generation that fits there had better wait for another engine: one that is sent
- * can't go elsewhere any more. waited_us: so far; aim_us: of its first token. */
-int place_waits(const struct place_site *s, int64_t waited_us, int64_t aim_us);
+/* Whether a generation that fits there should wait for another engine instead, as it can't be
+ * placed elsewhere once it is sent. waited_us: time waited so far; objective_us: latency
+ * objective of its first token. */
+int place_should_wait(const struct place_server *s, int64_t waited_us, int64_t objective_us);
 #endif
--- a/include/saddlehead/quota.h
+++ b/include/saddlehead/quota.h
@@ -1,7 +1,7 @@
 /*
- * What a backend server bears for a while, dealt into shares of whole requests, one for each
- * instance that sends to it: nothing has to be told before a request is sent, and all shares
- * together are never above what it bears. Pure functions.
+ * Divides the temporary rate limit of a backend server into shares of whole requests, one for
+ * each instance that sends to it. Instances don't coordinate before they send, and all shares
+ * together never exceed the server's capacity. Pure functions.
  */
 #ifndef SADDLEHEAD_QUOTA_H
 #define SADDLEHEAD_QUOTA_H
@@ -10,12 +10,12 @@
 #define QUOTA_NEVER INT64_MAX
 
 enum quota_kind {
-	QUOTA_COLD,  /* it has started, and falls over under what it bears later */
-	QUOTA_LIMIT, /* it named in its answers what it takes */
+	QUOTA_COLD,  /* it has just started and would be overloaded by its normal rate */
+	QUOTA_LIMIT, /* it announced a rate limit in its responses */
 	QUOTA_KINDS
 };
 
-/* It falls over above over x per_s + slack requests in one second. */
+/* It is overloaded by more than over * per_s + slack requests in one second. */
 struct quota_cold {
 	double per_s, over, slack;
 };
@@ -32,42 +32,44 @@
 	} of;
 };
 
-/* The span in which the bound's sum is counted, and what requests may be late by; microseconds.
- */
+/* Window over which the bound is counted, plus the variation of network delay; microseconds. */
 int64_t quota_window_us(const struct quota_bound *b);
 
-/* Requests in a window that instances which hear each other may send it together. Two parts of
- * a fleet that can't hear each other may both send so many. At least one where it names a
- * limit, however low: only an answer tells that the limit is over. */
+/* Requests per window that connected instances together may send to it. Two partitions of a
+ * fleet may both send this many. At least one for a QUOTA_LIMIT, however low, as only a
+ * response shows that the limit is over. */
 uint32_t quota_sum(const struct quota_bound *b);
 
-/* Of it, the part of the instance that is so far from the first (0) of those that share. The
- * parts add up to the sum. */
+/* Share of the instance with this rank (from 0) among the sharers. The shares add up to sum. */
 uint32_t quota_share(uint32_t sum, uint32_t sharers, uint32_t rank);
 
-/* When one instance sent, and may send next. Begins with zeros. */
+/* Send times of one instance. Initialized with zeros. */
 struct quota_pace {
-	int64_t sent_us; /* the last one; later than that where it sent more than its share */
+	int64_t sent_us; /* last send; later than the actual one if it sent more than its share
+			  */
 	uint32_t share;
-	int begun;
+	int started;
 };
 
-/* The share as it is now. Whoever comes to have one waits as if it had just sent: another
- * instance, or its own earlier life, may have used it until then. begun_us: until when an
- * earlier life of this instance may have sent to the server, at the first call. */
-void quota_set_share(struct quota_pace *p, uint32_t share, int64_t begun_us, int64_t now_us);
+/* Sets the current share. An instance that gets a share after having none waits as if it had
+ * just sent, as another instance or its own earlier incarnation may have used the share until
+ * then. earlier_until_us (used in the first call): until when an earlier incarnation may have
+ * sent to the server. */
+void quota_set_share(struct quota_pace *p, uint32_t share, int64_t earlier_until_us,
+		     int64_t now_us);
 
 /* Microseconds until it may send; QUOTA_NEVER without a share. */
 int64_t quota_wait_us(const struct quota_pace *p, const struct quota_bound *b, int64_t now_us);
 
-/* One was sent, whether it might be or not: what is beyond the share is made up for. */
+/* Records a send, allowed or not. Sends beyond the share delay later ones. */
 void quota_spend(struct quota_pace *p, const struct quota_bound *b, int64_t now_us);
 
-/* A server that may be sent a request in first_us, and then each gap_us. */
-struct quota_site {
-	int64_t first_us, gap_us; /* first_us QUOTA_NEVER: not as far as is known */
+/* A server that may receive a request in first_us and then every gap_us. */
+struct quota_server {
+	int64_t first_us, gap_us; /* first_us QUOTA_NEVER: no send slot is predictable */
 };
 
-/* Microseconds until it is the turn of a request that so many others come before. Changes s. */
-int64_t quota_turn_us(struct quota_site *s, int n, uint32_t before);
+/* Microseconds until the send slot of a request with this many requests ahead of it. Changes s.
+ */
+int64_t quota_slot_us(struct quota_server *s, int n, uint32_t ahead);
 #endif
--- a/include/saddlehead/roles.h
+++ b/include/saddlehead/roles.h
@@ -1,72 +1,76 @@
 /*
- * Which instances take callers (active), which keep all others informed (hubs: the active ones
- * and a few more), and which of these ask the platform's store for all: pure functions of who
- * is known. All instances come to about the same answer from the same beliefs, without asking
- * each other. The rest of a large fleet stands by.
+ * Assigns roles to instances: active (receive caller traffic), hub (the active ones and a few
+ * more; they distribute updates to all others), and those hubs that watch the platform's store
+ * for the fleet. The other instances of a large fleet are standby. Pure functions of the
+ * member list: all instances come to nearly the same result without coordination.
  */
 #ifndef SADDLEHEAD_ROLES_H
 #define SADDLEHEAD_ROLES_H
 #include <stdint.h>
 
-/* Active instances, where there are so many: a loss of one meets a sixteenth of the callers,
- * and each knows within some ms what the others send. */
+/* Number of active instances in a large fleet: the loss of one affects a sixteenth of the
+ * callers, and they exchange their loads within some ms. */
 #define ROLES_ACTIVE 16
-/* So many are active even where only some links are wide: a loss of one is felt, but not much.
- */
+/* Minimum of active instances, even if only a few links are wide; limits the effect of losing
+ * one. */
 #define ROLES_ACTIVE_MIN 6
-/* A link of less than this part of the widest takes no callers beyond that: whoever holds a
- * stream there waits while a new configuration comes, for most of a second on 10 Mbit/s. */
+/* Beyond that minimum an instance is not active if its link has less than this part of the
+ * widest link's bandwidth: streams through it would stall while a new configuration is fetched,
+ * for most of a second at 10 Mbit/s. */
 #define ROLES_NARROW_PART 4
-/* Hubs beside them, which ask the store: whatever happens to one of these meets no caller. */
+/* Additional hubs, which watch the store: the failure of one of them affects no caller. */
 #define ROLES_SPARE 3
 
 enum roles_state {
-	ROLES_ALIVE, /* heard lately */
-	ROLES_TRIED, /* not heard yet: it may be starting */
-	ROLES_AWAY   /* dead, or about to stop */
+	ROLES_ALIVE,  /* a message was received from it lately */
+	ROLES_UNSEEN, /* no message was received yet: it may be starting */
+	ROLES_GONE    /* dead or leaving */
 };
 
-/* One instance as a candidate; the one that asks is among them. */
+/* One instance as a candidate; the calling instance is among them. */
 struct roles_peer {
-	int link_mbps; /* 0: not told */
-	uint32_t hash; /* of its address: the order among equal links */
+	int link_mbps; /* 0: unknown */
+	uint32_t hash; /* hash of its address: breaks ties between equal links */
 	enum roles_state state;
 	int store_down; /* its last call to the store failed */
 	int self;
-	int active, hub; /* set by roles_choose */
+	int active, hub; /* set by roles_assign */
 	void *user;
 };
 
-/* Sorts the n peers by rank, the widest links first. Of those that are not away the first
- * ROLES_ACTIVE become active, or fewer where the next ones' links are narrow; these and the
- * next ROLES_SPARE become hubs. */
-void roles_choose(struct roles_peer *p, int n);
+/* Sorts the n peers by rank, widest links first, and sets their roles. Of those that are not
+ * ROLES_GONE the first ROLES_ACTIVE become active, fewer if the following ones have narrow
+ * links; these and the next ROLES_SPARE become hubs. */
+void roles_assign(struct roles_peer *p, int n);
 
-/* The rest take what roles_choose has left. */
+/* The following functions take the result of roles_assign. */
 
-/* Whether self watches the store for all: one of the first hubs that it answers,
- * those without callers before the others. */
+/* Whether self watches the store for the fleet: one of the first hubs that the store answers,
+ * inactive ones first. */
 int roles_watches(const struct roles_peer *p, int n);
 
-/* Whether self goes on asking a store that answers no hub. */
-int roles_asks(const struct roles_peer *p, int n);
+/* Whether self keeps calling a store that answers no hub. */
+int roles_retries_store(const struct roles_peer *p, int n);
 
-/* Whether the store answers some hub, as far as is known. */
-int roles_store_answers(const struct roles_peer *p, int n);
+/* Whether the store answers at least one hub, according to the local view. */
+int roles_store_up(const struct roles_peer *p, int n);
 
-/* An instance whose configuration grows too old. */
-struct roles_old {
+/* State of an instance whose configuration gets too old. */
+struct roles_stale {
 	int hub;
-	int asks;              /* roles_asks */
-	int store_up;          /* the store answered its last call, or it made none */
-	int64_t rest_until_us; /* drawn (roles_rest_us) when its configuration grew old */
+	int retries_store;        /* result of roles_retries_store */
+	int store_up;             /* the store answered its last call, or it made none */
+	int64_t backoff_until_us; /* drawn by roles_backoff_us when its configuration became too
+				     old */
 };
 
-/* Whether it asks the store itself. One that stands by hears of the store from hubs and does
- * not find out alone: hundreds that each try once are a burst of calls in every outage. */
-int roles_may_ask(const struct roles_old *o, int64_t now_us);
+/* Whether it may call the store itself. A standby instance learns from hubs that the store is
+ * back instead of trying: hundreds of instances that each try once would be a burst of calls in
+ * every outage. */
+int roles_may_call(const struct roles_stale *o, int64_t now_us);
 
-/* Microseconds that an instance which is not to ask rests before it asks all the same: the
- * whole fleet does so about once in two seconds, whatever its size. draw: any number. */
-int64_t roles_rest_us(int instances, uint32_t draw);
+/* Back-off in microseconds after which an instance calls the store although it is not selected
+ * to. The whole fleet makes such a call about every two seconds, whatever its size. draw: a
+ * random number. */
+int64_t roles_backoff_us(int instances, uint32_t draw);
 #endif
--- a/include/saddlehead/rollout.h
+++ b/include/saddlehead/rollout.h
@@ -1,19 +1,19 @@
 /*
- * A service's new version is brought in: a bounded part of the requests goes to it first
- * (canary), its answers are compared with those of the old version in the same seconds, and it
- * takes over or is rolled back. Pure functions; counts of all instances are added up by the
- * caller.
+ * Rollout of a new version of a service: first a bounded share of the requests goes to it
+ * (canary), and its responses are compared with those of the old version in the same period;
+ * then it takes over or is rolled back. Pure functions; the caller adds up the counts of all
+ * instances.
  */
 #ifndef SADDLEHEAD_ROLLOUT_H
 #define SADDLEHEAD_ROLLOUT_H
 #include <stdint.h>
 
-/* Only rises: of two words on one order the higher one holds. */
+/* Only increases: of two reports on one order the higher stage holds. */
 enum rollout_stage {
-	ROLLOUT_UNKNOWN,     /* ordered, and not yet known how far it is: nothing goes there */
-	ROLLOUT_CANARY,      /* a bounded part of the requests goes there */
-	ROLLOUT_SHIFT,       /* found good: all new requests go there */
-	ROLLOUT_ROLLED_BACK, /* found bad: nothing goes there any more */
+	ROLLOUT_UNKNOWN,     /* ordered, current stage unknown: no requests go there */
+	ROLLOUT_CANARY,      /* a bounded share of the requests goes there */
+	ROLLOUT_SHIFT,       /* judged good: all new requests go there */
+	ROLLOUT_ROLLED_BACK, /* judged bad: no requests go there any more */
 	ROLLOUT_COMPLETED,   /* the old version's servers are stopped */
 	ROLLOUT_STAGES
 };
@@ -22,16 +22,16 @@
 
 /* ---- evidence: rollout_judge.c ---- */
 
-#define ROLLOUT_TIMES 18 /* classes of the time of an answer, from 5 ms to 5 s */
-#define ROLLOUT_ROUTES 8 /* told apart; the rest are counted together as the last one */
+#define ROLLOUT_TIMES 18 /* histogram classes of response times, from 5 ms to 5 s */
+#define ROLLOUT_ROUTES 8 /* counted separately; further ones are added to the last */
 
 struct rollout_count {
-	uint32_t answers, bad; /* bad ones among the answers */
+	uint32_t answers, bad; /* bad: failed ones among the answers */
 	uint32_t times[ROLLOUT_TIMES];
 };
 
 struct rollout_route {
-	uint32_t key; /* any number of the caller's that names the route */
+	uint32_t key; /* any number that identifies the route to the caller */
 	struct rollout_count of[ROLLOUT_SIDES];
 };
 
@@ -40,53 +40,56 @@
 	int n;
 };
 
-/* An exchange ended. took_us: until its answer (of a stream: its first event); negative: that
- * tells nothing of the version, as its server was cold. */
-void rollout_note(struct rollout_tally *t, uint32_t route, enum rollout_side side, int bad,
-		  int64_t took_us);
+/* Records the end of an exchange. took_us: time to its response (of a stream: to its first
+ * event); negative if it must not be counted because the server was cold. */
+void rollout_record(struct rollout_tally *t, uint32_t route, enum rollout_side side, int bad,
+		    int64_t took_us);
 void rollout_add(struct rollout_tally *sum, const struct rollout_tally *t);
 
 enum rollout_verdict { ROLLOUT_OPEN, ROLLOUT_GOOD, ROLLOUT_BAD };
 
-/* What a verdict rests on: of one route, or of all (route 0). */
+/* Counts behind a verdict: of one route, or of all (route 0). */
 struct rollout_reason {
 	uint32_t route;
-	int slow; /* by times, not by bad answers */
+	int slow; /* judged by response times, not by failed responses */
 	uint32_t new_bad, new_all, old_bad, old_all;
 };
 
-/* Compares the new version's answers with the old one's. ROLLOUT_GOOD needs enough answers on
- * each route that is used; with last set (its time is nearly over), fewer. */
+/* Compares the responses of both versions. ROLLOUT_GOOD needs enough responses on each route in
+ * use; fewer are enough if last is set (the order's time is nearly over). */
 enum rollout_verdict rollout_judge(const struct rollout_tally *t, int last,
 				   struct rollout_reason *why);
 
 /* ---- stages: rollout.c ---- */
 
-/* Parts of an order's time. */
-#define ROLLOUT_JUDGED_PART 0.55 /* it stays a canary until then: some turn bad late */
-#define ROLLOUT_LAST_PART 0.75   /* from then on less evidence will do */
-#define ROLLOUT_MOVE_PART 0.8    /* streams that still run at the old version move */
-#define ROLLOUT_DONE_PART 0.93   /* the old version ends, whatever runs there */
+/* Deadlines of stages, as fractions of the order's time. */
+#define ROLLOUT_JUDGED_PART 0.55 /* it stays a canary until then: some versions fail late */
+#define ROLLOUT_LAST_PART 0.75   /* from then on less evidence is enough */
+#define ROLLOUT_MOVE_PART 0.8    /* streams on the old version are moved */
+/* The old version is stopped even if requests still run there. */
+#define ROLLOUT_DONE_PART 0.93
 
 struct rollout_state {
 	enum rollout_stage stage;
-	int64_t age_us, for_us; /* since the order; its time */
-	int64_t shifted_us;     /* since the shift began */
+	int64_t age_us, for_us; /* time since the order; time allowed for it */
+	int64_t shifted_us;     /* since ROLLOUT_SHIFT began */
 	enum rollout_verdict verdict;
-	uint32_t old_runs; /* exchanges at the old version's servers, of all instances */
+	uint32_t old_runs; /* exchanges in flight at the old version's servers, from all
+			      instances */
 };
 
-/* The stage that follows now. */
+/* Returns the next stage. */
 enum rollout_stage rollout_next(const struct rollout_state *s);
-/* Whether what still runs at the old version's servers is to move off them. */
-int rollout_moves_off(const struct rollout_state *s);
+/* Whether requests on the old version's servers have to be moved away. */
+int rollout_must_move(const struct rollout_state *s);
 
-/* What one instance has sent to the service since the order. */
+/* Requests of one instance to the service since the order. */
 struct rollout_use {
-	uint64_t requests, exposed; /* exposed: those that went to the new version */
+	uint64_t requests, exposed; /* exposed: those sent to the new version */
 };
 
-/* Whether it may send one more to a canary. slack: this instance's part of the fleet's. The sum
- * over all instances stays within share x requests + slack, as each keeps to its own. */
+/* Whether it may send one more request to a canary. slack: this instance's part of the fleet's
+ * slack. As each instance keeps to its bound the fleet stays within share * requests + slack.
+ */
 int rollout_may_expose(const struct rollout_use *u, double share, double slack);
 #endif
--- a/src/core/budget.c
+++ b/src/core/budget.c
@@ -1,14 +1,15 @@
-/* Counts requests and repeats over a window in slots, and holds repeats within the rule. */
+/* Counts requests and retries over a sliding window of slots, and limits the retries. */
 #include "budget.h"
 #include <string.h>
 
-/* The last repeats of two instances within one window lie up to a window apart, so together
- * they may count on the requests of two windows, of which the rule knows the larger. */
+/* The last retries of two instances within one window may be up to a window apart, so together
+ * they may rely on the requests of two windows; the rule counts the larger one. */
 #define WINDOWS 2
-/* Of the bound, for requests. */
-#define REPEAT_PART 0.8
+/* Share of the limit that is available to retries of requests; the rest is reserved for streams
+ * that would be lost. */
+#define RETRY_SHARE 0.8
 
-static void turn(struct budget *b, const struct budget_rule *r, int64_t now)
+static void advance(struct budget *b, const struct budget_rule *r, int64_t now)
 {
 	int64_t len = r->window_us / BUDGET_SLOTS;
 
@@ -19,11 +20,11 @@
 	while (now - b->slot_us >= len) {
 		b->slot_us += len;
 		b->at = (b->at + 1) % BUDGET_RING;
-		b->first[b->at] = b->again[b->at] = 0;
+		b->requests[b->at] = b->retries[b->at] = 0;
 	}
 }
 
-/* Of the newest n slots, the one that is being counted among them. */
+/* Sum over the newest n slots, the current one included. */
 static uint32_t sum(const uint32_t *v, uint32_t at, uint32_t n)
 {
 	uint32_t i, all = 0;
@@ -34,35 +35,35 @@
 
 void budget_request(struct budget *b, const struct budget_rule *r, int64_t now)
 {
-	turn(b, r, now);
-	b->first[b->at]++;
+	advance(b, r, now);
+	b->requests[b->at]++;
 }
 
 void budget_spend(struct budget *b, const struct budget_rule *r, int64_t now)
 {
-	turn(b, r, now);
-	b->again[b->at]++;
+	advance(b, r, now);
+	b->retries[b->at]++;
 }
 
 uint32_t budget_used(const struct budget *b)
 {
-	return sum(b->again, b->at, BUDGET_RING);
+	return sum(b->retries, b->at, BUDGET_RING);
 }
 
-/* Slots are whole: fewer of requests and more of repeats than the window has, never the other
- * way round. */
-static double most(const struct budget *b, const struct budget_rule *r, enum budget_use use)
+/* Slots are not split: requests are counted over a slightly shorter span than the window and
+ * retries over a longer one, so that errors never exceed the rule. */
+static double limit(const struct budget *b, const struct budget_rule *r, enum budget_use use)
 {
-	uint32_t requests = sum(b->first, b->at, BUDGET_SLOTS - 1);
+	uint32_t requests = sum(b->requests, b->at, BUDGET_SLOTS - 1);
 	double n = r->slack + r->ratio / WINDOWS * requests;
 
-	return use == BUDGET_REPEAT ? n * REPEAT_PART : n;
+	return use == BUDGET_RETRY ? n * RETRY_SHARE : n;
 }
 
 int budget_take(struct budget *b, const struct budget_rule *r, enum budget_use use, int64_t now)
 {
-	turn(b, r, now);
-	if (budget_used(b) + 1 > most(b, r, use)) return 0;
-	b->again[b->at]++;
+	advance(b, r, now);
+	if (budget_used(b) + 1 > limit(b, r, use)) return 0;
+	b->retries[b->at]++;
 	return 1;
 }
--- a/src/core/conf.c
+++ b/src/core/conf.c
@@ -1,4 +1,4 @@
-/* The configuration: kept as read, found by place, key and name. */
+/* Stores the configuration and looks up entries by host and path, key or name. */
 #include "conf.h"
 #include <string.h>
 
@@ -37,7 +37,7 @@
 	c->routes = g_ptr_array_new_with_free_func(free_route);
 	c->services = g_ptr_array_new_with_free_func(free_service);
 	c->groups = g_ptr_array_new_with_free_func(free_group);
-	c->by_place = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	c->by_prefix = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	c->by_key = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	c->by_service = g_hash_table_new(g_str_hash, g_str_equal);
 	return c;
@@ -52,7 +52,7 @@
 void conf_unref(struct conf *c)
 {
 	if (!c || --c->refs) return;
-	g_hash_table_destroy(c->by_place);
+	g_hash_table_destroy(c->by_prefix);
 	g_hash_table_destroy(c->by_key);
 	g_hash_table_destroy(c->by_service);
 	g_ptr_array_free(c->routes, TRUE);
@@ -61,7 +61,7 @@
 	g_free(c);
 }
 
-static char *place_key(const char *host, const char *prefix, size_t n)
+static char *route_key(const char *host, const char *prefix, size_t n)
 {
 	char *lower = g_ascii_strdown(host, -1);
 	char *p = g_strdup_printf("%s %.*s", lower, (int)n, prefix);
@@ -73,7 +73,7 @@
 void conf_add_route(struct conf *c, struct conf_route *r)
 {
 	g_ptr_array_add(c->routes, r);
-	g_hash_table_replace(c->by_place, place_key(r->host, r->prefix, strlen(r->prefix)), r);
+	g_hash_table_replace(c->by_prefix, route_key(r->host, r->prefix, strlen(r->prefix)), r);
 }
 
 void conf_add_service(struct conf *c, struct conf_service *s)
@@ -97,8 +97,8 @@
 	g_hash_table_replace(c->by_key, key, g);
 }
 
-/* A host as callers write it may carry a port. */
-static char *host_only(const char *host)
+/* Strips the port that a Host header may contain. */
+static char *host_name(const char *host)
 {
 	return g_strndup(host, strcspn(host, ":"));
 }
@@ -106,7 +106,7 @@
 const struct conf_route *conf_route(const struct conf *c, const char *host, const char *path)
 {
 	const struct conf_route *r = NULL;
-	char *name = host_only(host);
+	char *name = host_name(host);
 	size_t n = strcspn(path, "?#");
 
 	while (n && !r) {
@@ -114,8 +114,8 @@
 
 		while (n && path[n - 1] != '/') n--;
 		if (!n) break;
-		key = place_key(name, path, n);
-		r = g_hash_table_lookup(c->by_place, key);
+		key = route_key(name, path, n);
+		r = g_hash_table_lookup(c->by_prefix, key);
 		g_free(key);
 		n--;
 	}
@@ -133,7 +133,7 @@
 	return g_hash_table_lookup(c->by_service, name);
 }
 
-static int is_among(char *const *regions, const char *region)
+static int is_allowed_in(char *const *regions, const char *region)
 {
 	if (!regions) return 1;
 	return region && g_strv_contains((const gchar *const *)regions, region);
@@ -141,10 +141,10 @@
 
 int conf_allows(const struct conf_route *r, const struct conf_group *g, const char *region)
 {
-	return is_among(r->regions, region) && (!g || is_among(g->regions, region));
+	return is_allowed_in(r->regions, region) && (!g || is_allowed_in(g->regions, region));
 }
 
-int conf_binds_regions(const struct conf *c, const char *host)
+int conf_restricts_regions(const struct conf *c, const char *host)
 {
 	uint32_t i;
 
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,4 +1,4 @@
-/* The decision core's door: events in, orders out. */
+/* Public interface of the decision core: applies events and returns orders. */
 #include "core_impl.h"
 #include <errno.h>
 
@@ -50,7 +50,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &g)) ((struct cgroup *)g)->listed = 0;
 	for (i = 0; i < ev->u.table.n; i++) set_row(c, &ev->u.table.row[i]);
 	g_hash_table_iter_init(&it, c->groups);
-	while (g_hash_table_iter_next(&it, NULL, &g)) cgroup_resort(g);
+	while (g_hash_table_iter_next(&it, NULL, &g)) cgroup_update_queues(g);
 }
 
 static void set_limit(struct core *c, const struct core_event *ev)
@@ -59,7 +59,7 @@
 
 	if (!g) return;
 	g->row.limit_running = ev->u.limit.running;
-	cgroup_resort(g);
+	cgroup_update_queues(g);
 }
 
 static void tick(struct core *c)
@@ -74,7 +74,7 @@
 		g = p;
 		if (!g->waiting || !g->row.ceil_tokens_per_s) continue;
 		cgroup_refill(c, g);
-		cgroup_resort(g);
+		cgroup_update_queues(g);
 	}
 }
 
@@ -86,7 +86,7 @@
 	case CORE_EV_ENGINE: cengine_set(c, ev); return 0;
 	case CORE_EV_ENGINE_GONE: cengine_gone(c, ev->u.engine_gone); return 0;
 	case CORE_EV_LOAD: cengine_load(c, &ev->u.load); return 0;
-	case CORE_EV_DOUBT: cengine_doubt(c, ev->u.doubt); return 0;
+	case CORE_EV_LINK_LOST: cengine_link_lost(c, ev->u.link_lost); return 0;
 	case CORE_EV_TICKET: cticket_new(c, &ev->u.ticket); return 0;
 	case CORE_EV_ADOPT: cticket_adopt(c, &ev->u.ticket); return 0;
 	case CORE_EV_WITHDRAW:
@@ -125,7 +125,7 @@
 
 	for (i = 0; i < s->engines->len; i++) {
 		e = s->engines->pdata[i];
-		if (!cengine_open(c, e)) continue;
+		if (!cengine_accepts(c, e)) continue;
 		free_tokens = cengine_free_tokens(c, e);
 		if (free_tokens > 0) d.free_tokens += (uint32_t)free_tokens;
 		d.free_slots += e->load.max_running - e->tickets->len;
@@ -151,7 +151,8 @@
 	return n;
 }
 
-uint32_t core_unheard(struct core *c, int64_t before_us, struct core_ref *out, uint32_t max)
+uint32_t core_stale_tickets(struct core *c, int64_t before_us, struct core_ref *out,
+			    uint32_t max)
 {
 	struct cticket *t;
 	GHashTableIter it;
@@ -161,8 +162,8 @@
 	g_hash_table_iter_init(&it, c->tickets);
 	while (n < max && g_hash_table_iter_next(&it, NULL, &p)) {
 		t = p;
-		if (t->state != CT_RUNNING || t->heard_us >= before_us) continue;
-		t->heard_us = c->now;
+		if (t->state != CT_RUNNING || t->last_seen_us >= before_us) continue;
+		t->last_seen_us = c->now;
 		out[n++] = t->ref;
 	}
 	return n;
--- a/src/core/core_check.c
+++ b/src/core/core_check.c
@@ -1,13 +1,13 @@
-/* Adds every account up again from the tickets; an abort means a bug in the core. */
+/* Recomputes all counters from the tickets; an abort means a bug in the core. */
 #include "core_impl.h"
 
-struct sums {
+struct counts {
 	uint32_t waiting, running;
 };
 
 static void check_group(const struct core *c, const struct cgroup *g)
 {
-	struct sums s = {0, 0};
+	struct counts s = {0, 0};
 	const struct cticket *t;
 	GHashTableIter it;
 	gpointer p;
--- a/src/core/core_engine.c
+++ b/src/core/core_engine.c
@@ -1,4 +1,4 @@
-/* Engines kept here, their memory accounts, and the services they serve. */
+/* The keeper's engines, their estimated memory use, and the services that they provide. */
 #include "core_impl.h"
 
 static struct cservice *cservice_get(struct core *c, uint64_t id)
@@ -43,18 +43,18 @@
 	g_free(e);
 }
 
-/* Tickets of services that lost their last engine here can't wait any longer. */
-static void strand(struct core *c)
+/* Refuses the tickets that wait for a service whose last engine at this keeper is gone. */
+static void refuse_unserved(struct core *c)
 {
 	GHashTableIter it;
 	gpointer p;
 
 	g_hash_table_iter_init(&it, c->services);
 	while (g_hash_table_iter_next(&it, NULL, &p))
-		if (!((struct cservice *)p)->engines->len) cticket_strand(c, p);
+		if (!((struct cservice *)p)->engines->len) cticket_refuse_all(c, p);
 }
 
-static void leave_services(struct cengine *e)
+static void unlink_services(struct cengine *e)
 {
 	struct cservice *s;
 	guint i;
@@ -73,17 +73,17 @@
 	uint32_t i;
 
 	if (!e) e = engine_new(c, ev->u.engine.id);
-	leave_services(e);
+	unlink_services(e);
 	e->leaving = ev->u.engine.leaving;
 	for (i = 0; i < ev->u.engine.nservices && i < CORE_ENGINE_SERVICES_MAX; i++) {
 		s = cservice_get(c, ev->u.engine.service[i]);
 		g_ptr_array_add(s->engines, e);
 		g_ptr_array_add(e->services, s);
 	}
-	strand(c);
+	refuse_unserved(c);
 }
 
-/* The tickets that ran there are forgotten: their entries notice by themselves. */
+/* Drops the tickets that ran there. Their entries detect the failure by themselves. */
 void cengine_gone(struct core *c, uint64_t id)
 {
 	struct cengine *e = g_hash_table_lookup(c->engines, &id);
@@ -94,12 +94,12 @@
 		t = e->tickets->pdata[0];
 		cticket_end(c, t->ref, 0, 0);
 	}
-	leave_services(e);
+	unlink_services(e);
 	g_hash_table_remove(c->engines, &id);
-	strand(c);
+	refuse_unserved(c);
 }
 
-/* Every stream on an engine gains a token each step: groups are charged from the steps. */
+/* Each step yields one token per stream: charges the groups for the steps. */
 static void charge_steps(struct core *c, struct cengine *e, uint64_t steps)
 {
 	struct cticket *t;
@@ -112,11 +112,11 @@
 	for (i = 0; i < e->tickets->len; i++) {
 		t = e->tickets->pdata[i];
 		cgroup_refill(c, t->group);
-		cgroup_resort(t->group);
+		cgroup_update_queues(t->group);
 	}
 }
 
-static void restart(struct cengine *e, const struct core_load *l)
+static void reset_steps(struct cengine *e, const struct core_load *l)
 {
 	struct cticket *t;
 	guint i;
@@ -130,11 +130,11 @@
 	e->load = *l;
 }
 
-void cengine_doubt(struct core *c, uint64_t id)
+void cengine_link_lost(struct core *c, uint64_t id)
 {
 	struct cengine *e = g_hash_table_lookup(c->engines, &id);
 
-	if (e) e->doubted = 1;
+	if (e) e->failed_lately = 1;
 }
 
 void cengine_load(struct core *c, const struct core_load *l)
@@ -143,11 +143,11 @@
 	uint64_t before;
 
 	if (!e) return;
-	e->heard_us = c->now;
-	e->doubted = 0;
+	e->last_seen_us = c->now;
+	e->failed_lately = 0;
 	if (!e->reported || l->steps < e->load.steps) {
 		e->reported = 1;
-		restart(e, l);
+		reset_steps(e, l);
 		return;
 	}
 	before = e->load.steps;
@@ -170,10 +170,10 @@
 	return (int64_t)e->load.capacity_tokens - cengine_used(e) - reserve;
 }
 
-int cengine_open(const struct core *c, const struct cengine *e)
+int cengine_accepts(const struct core *c, const struct cengine *e)
 {
-	if (e->leaving || !e->reported || e->doubted) return 0;
-	if (c->now - e->heard_us > c->cfg.engine_silent_us) return 0;
+	if (e->leaving || !e->reported || e->failed_lately) return 0;
+	if (c->now - e->last_seen_us > c->cfg.engine_silent_us) return 0;
 	return e->tickets->len < e->load.max_running;
 }
 
--- a/src/core/core_group.c
+++ b/src/core/core_group.c
@@ -1,7 +1,7 @@
-/* Groups: what each has been served, and whether it may get more now. */
+/* Groups: their accounting, and whether they may get more grants now. */
 #include "core_impl.h"
 
-#define RATE_BURST_S 1.0 /* the rate ceiling's bucket holds this many seconds */
+#define RATE_BURST_S 1.0 /* capacity of the rate ceiling's bucket, in seconds at that rate */
 
 struct cgroup *cgroup_get(struct core *c, uint64_t id)
 {
@@ -62,11 +62,11 @@
 
 void cgroup_refill(struct core *c, struct cgroup *g)
 {
-	double rate = g->row.ceil_tokens_per_s, most = rate * RATE_BURST_S;
+	double rate = g->row.ceil_tokens_per_s, burst = rate * RATE_BURST_S;
 
 	if (rate == 0) return;
 	g->bucket += (double)(c->now - g->bucket_at) / 1e6 * rate;
-	if (g->bucket > most) g->bucket = most;
+	if (g->bucket > burst) g->bucket = burst;
 	g->bucket_at = c->now;
 }
 
@@ -77,7 +77,7 @@
 	return g->row.ceil_tokens_per_s && g->bucket < 0;
 }
 
-void cgroup_resort(struct cgroup *g)
+void cgroup_update_queues(struct cgroup *g)
 {
 	int blocked = cgroup_blocked(g);
 	struct cqueue *q;
@@ -95,7 +95,7 @@
 	}
 }
 
-void cgroup_wake(struct core *c, struct cgroup *g)
+void cgroup_activate(struct core *c, struct cgroup *g)
 {
 	if (g->running || g->waiting) return;
 	if (g->vtime < c->vnow) g->vtime = c->vnow;
--- a/src/core/core_sched.c
+++ b/src/core/core_sched.c
@@ -1,7 +1,7 @@
-/* Whose turn it is, and on which engine. */
+/* Scheduling: selects the next ticket and its engine. */
 #include "core_impl.h"
 
-#define GAP_SMOOTH 0.1
+#define GAP_WEIGHT 0.1
 #define RETRY_MIN_MS 50
 #define RETRY_MAX_MS 30000
 #define RETRY_UNKNOWN_MS 1000
@@ -25,29 +25,29 @@
 	return ms > RETRY_MAX_MS ? RETRY_MAX_MS : (uint32_t)ms;
 }
 
-/* The engine with the most free memory on which need tokens fit now. */
+/* Returns the engine with the most free memory that has need tokens free, or NULL. */
 static struct cengine *pick_engine(struct core *c, struct cservice *s, int64_t need)
 {
 	struct cengine *e, *best = NULL;
-	int64_t free_tokens, most = need - 1;
+	int64_t free_tokens, max_free = need - 1;
 	guint i;
 
 	for (i = 0; i < s->engines->len; i++) {
 		e = s->engines->pdata[i];
-		if (!cengine_open(c, e)) continue;
+		if (!cengine_accepts(c, e)) continue;
 		free_tokens = cengine_free_tokens(c, e);
-		if (free_tokens <= most) continue;
-		most = free_tokens;
+		if (free_tokens <= max_free) continue;
+		max_free = free_tokens;
 		best = e;
 	}
 	return best;
 }
 
-static void note_grant(struct core *c, struct cservice *s)
+static void record_grant(struct core *c, struct cservice *s)
 {
 	double gap = (double)(c->now - s->last_grant_us);
 
-	if (s->last_grant_us) s->grant_gap_us += GAP_SMOOTH * (gap - s->grant_gap_us);
+	if (s->last_grant_us) s->grant_gap_us += GAP_WEIGHT * (gap - s->grant_gap_us);
 	s->last_grant_us = c->now;
 }
 
@@ -58,7 +58,7 @@
 	o.waited_us = c->now - t->info.arrived_us;
 	if (t->group->vtime > c->vnow) c->vnow = t->group->vtime;
 	cticket_start(c, t, e);
-	note_grant(c, s);
+	record_grant(c, s);
 	csched_order(c, &o);
 }
 
--- a/src/core/core_ticket.c
+++ b/src/core/core_ticket.c
@@ -1,4 +1,4 @@
-/* Tickets: a request's way from waiting to running to its end. */
+/* Life cycle of tickets: waiting, running, ended. */
 #include "core_impl.h"
 #include "hash.h"
 
@@ -20,14 +20,15 @@
 	       ((const struct cticket *)b)->info.deadline_us;
 }
 
-/* Behind all that arrived before it: a ticket moved here from another keeper keeps its age. */
+/* Inserts by arrival time: a ticket moved here from another keeper keeps its position by age.
+ */
 static void enqueue(struct cqueue *q, struct cticket *t)
 {
-	struct cticket *at = q->last;
+	struct cticket *after = q->last;
 
-	while (at && at->info.arrived_us > t->info.arrived_us) at = at->prev;
-	t->prev = at;
-	t->next = at ? at->next : q->first;
+	while (after && after->info.arrived_us > t->info.arrived_us) after = after->prev;
+	t->prev = after;
+	t->next = after ? after->next : q->first;
 	if (t->prev)
 		t->prev->next = t;
 	else
@@ -67,14 +68,14 @@
 
 	t->ref = info->ref;
 	t->info = *info;
-	t->heard_us = c->now;
+	t->last_seen_us = c->now;
 	t->group = cgroup_get(c, info->group);
 	t->pos = HEAP_OUT;
 	g_hash_table_insert(c->tickets, &t->ref, t);
 	return t;
 }
 
-static int fits_somewhere(const struct core *c, const struct cservice *s, uint32_t tokens)
+static int fits_any_engine(const struct core *c, const struct cservice *s, uint32_t tokens)
 {
 	const struct cengine *e;
 	guint i;
@@ -87,15 +88,15 @@
 	return 0;
 }
 
-/* Whether the ticket can't even wait here; why is set then. */
-static int hopeless(const struct core *c, const struct core_ticket_info *i,
-		    const struct cservice *s, const struct cgroup *g, enum core_refusal *why)
+/* Whether the ticket has to be refused without waiting; sets why in that case. */
+static int must_refuse(const struct core *c, const struct core_ticket_info *i,
+		       const struct cservice *s, const struct cgroup *g, enum core_refusal *why)
 {
 	if (!g || !g->listed)
 		*why = CORE_REF_NOT_ALLOWED;
 	else if (!s || !s->engines->len)
 		*why = CORE_REF_NO_ENGINE;
-	else if (!fits_somewhere(c, s, i->prompt_tokens + i->generated))
+	else if (!fits_any_engine(c, s, i->prompt_tokens + i->generated))
 		*why = CORE_REF_TOO_LONG;
 	else if (g->row.ceil_waiting && g->waiting >= g->row.ceil_waiting)
 		*why = CORE_REF_WAITING_CEILING;
@@ -106,8 +107,8 @@
 	return 1;
 }
 
-/* The entry asks again for what it may have missed. */
-static void repeat_grant(struct core *c, const struct cticket *t)
+/* The entry sent a ticket again, as it may have missed the grant. */
+static void resend_grant(struct core *c, const struct cticket *t)
 {
 	struct core_order o = {.type = CORE_GRANT, .ref = t->ref};
 
@@ -125,14 +126,14 @@
 
 	t = g_hash_table_lookup(c->tickets, &info->ref);
 	if (t) {
-		repeat_grant(c, t);
+		resend_grant(c, t);
 		return;
 	}
-	if (hopeless(c, info, s, g, &why)) {
+	if (must_refuse(c, info, s, g, &why)) {
 		refuse_ref(c, info->ref, why, s ? csched_retry_ms(c, s) : 1000);
 		return;
 	}
-	cgroup_wake(c, g);
+	cgroup_activate(c, g);
 	t = ticket_alloc(c, info);
 	t->queue = cgroup_queue(g, s);
 	enqueue(t->queue, t);
@@ -141,7 +142,7 @@
 	s->waiting++;
 	c->waiting++;
 	cgroup_refill(c, g);
-	cgroup_resort(g);
+	cgroup_update_queues(g);
 	csched_service(c, s);
 }
 
@@ -151,13 +152,13 @@
 	struct cticket *t;
 
 	if (!e || g_hash_table_lookup(c->tickets, &info->ref)) return;
-	cgroup_wake(c, cgroup_get(c, info->group));
+	cgroup_activate(c, cgroup_get(c, info->group));
 	t = ticket_alloc(c, info);
 	t->state = CT_RUNNING;
 	cengine_add(e, t);
 	t->group->running++;
 	c->running++;
-	cgroup_resort(t->group);
+	cgroup_update_queues(t->group);
 }
 
 static void leave_queue(struct core *c, struct cticket *t)
@@ -177,11 +178,11 @@
 	t->group->running++;
 	c->running++;
 	cgroup_charge(t->group, t->info.prompt_tokens * c->cfg.prompt_weight_pc / 100.0);
-	cgroup_resort(t->group);
+	cgroup_update_queues(t->group);
 }
 
-/* What was charged by steps is put right by what was really generated. */
-static void settle(struct cticket *t, uint32_t generated)
+/* Replaces the charge estimated from steps by the number of tokens that were generated. */
+static void settle_charge(struct cticket *t, uint32_t generated)
 {
 	double charged = (double)(t->engine->load.steps - t->steps_at_grant);
 
@@ -196,12 +197,12 @@
 	if (t->state == CT_WAITING) {
 		leave_queue(c, t);
 	} else {
-		if (known) settle(t, generated);
+		if (known) settle_charge(t, generated);
 		cengine_remove(t->engine, t);
 		t->group->running--;
 		c->running--;
 	}
-	cgroup_resort(t->group);
+	cgroup_update_queues(t->group);
 	g_hash_table_remove(c->tickets, &ref);
 }
 
@@ -210,7 +211,7 @@
 	struct cticket *t = g_hash_table_lookup(c->tickets, &ev->u.done.ref);
 
 	if (!t) return;
-	if (ev->u.done.failed && t->engine) t->engine->doubted = 1;
+	if (ev->u.done.failed && t->engine) t->engine->failed_lately = 1;
 	cticket_end(c, t->ref, 1, ev->u.done.generated);
 }
 
@@ -230,8 +231,9 @@
 	}
 }
 
-/* No engine is left here for what waits for the service: the entries ask elsewhere. */
-void cticket_strand(struct core *c, struct cservice *s)
+/* Refuses all tickets that wait for the service, which has no engine here any more. Their
+ * entries ask other keepers. */
+void cticket_refuse_all(struct core *c, struct cservice *s)
 {
 	struct cqueue *q;
 	struct cgroup *g;
@@ -252,15 +254,15 @@
 
 void cticket_entry_gone(struct core *c, uint64_t entry)
 {
-	GArray *gone = g_array_new(FALSE, FALSE, sizeof(struct core_ref));
+	GArray *refs = g_array_new(FALSE, FALSE, sizeof(struct core_ref));
 	GHashTableIter it;
 	gpointer key;
 	guint i;
 
 	g_hash_table_iter_init(&it, c->tickets);
 	while (g_hash_table_iter_next(&it, &key, NULL))
-		if (((struct core_ref *)key)->entry == entry) g_array_append_vals(gone, key, 1);
-	for (i = 0; i < gone->len; i++)
-		cticket_end(c, g_array_index(gone, struct core_ref, i), 0, 0);
-	g_array_free(gone, TRUE);
+		if (((struct core_ref *)key)->entry == entry) g_array_append_vals(refs, key, 1);
+	for (i = 0; i < refs->len; i++)
+		cticket_end(c, g_array_index(refs, struct core_ref, i), 0, 0);
+	g_array_free(refs, TRUE);
 }
--- a/src/core/forecast.c
+++ b/src/core/forecast.c
@@ -1,57 +1,59 @@
-/* Memory frees itself as runs end; how fast is worked out from their expected lengths. */
+/* Memory becomes free as generations end. The rate is computed from their expected lengths. */
 #include <math.h>
 #include <saddlehead/forecast.h>
 
-#define FULL_PERCENT 95 /* of the memory: requests are sent up to it */
+#define FULL_PERCENT 95 /* limit of memory use up to which requests are sent */
 
-/* How long a run there still takes, on the mean. */
-static double mean_left_us(const struct forecast_site *s)
+/* Mean time that a generation there still takes. */
+static double mean_remaining_us(const struct forecast_engine *s)
 {
 	double growth = (double)s->growth / s->runs;
 
 	return (growth < 1 ? 1 : growth) * s->token_us;
 }
 
-/* Tokens of memory that the runs there give back in a microsecond, their growth taken off. */
-static double freed_per_us(const struct forecast_site *s)
+/* Net tokens of memory freed per microsecond there: memory freed by generations that end minus
+ * the growth of all. */
+static double freed_per_us(const struct forecast_engine *s)
 {
 	if (!s->runs || s->token_us <= 0) return 0;
-	return s->used / mean_left_us(s) - s->runs / s->token_us;
+	return s->used / mean_remaining_us(s) - s->runs / s->token_us;
 }
 
-static int64_t room_us(const struct forecast_site *s, uint32_t need)
+static int64_t engine_wait_us(const struct forecast_engine *s, uint32_t need)
 {
 	uint64_t limit = (uint64_t)s->tokens * FULL_PERCENT / 100;
 	uint64_t all = (uint64_t)s->used + need;
-	double rate, us, first_end_us;
+	double rate, us, first_finish_us;
 
 	if (!s->tokens || all <= limit || !s->used) return s->usable_in_us;
 	rate = freed_per_us(s);
 	if (rate <= 0) return FORECAST_NEVER;
-	/* Memory comes back in pieces: one run at least has to end. */
-	first_end_us = mean_left_us(s) / s->runs;
+	/* Memory is freed in units of whole generations: at least one has to end. */
+	first_finish_us = mean_remaining_us(s) / s->runs;
 	us = (double)(all - limit) / rate;
-	if (us < first_end_us) us = first_end_us;
+	if (us < first_finish_us) us = first_finish_us;
 	return us > (double)s->usable_in_us ? (int64_t)us : s->usable_in_us;
 }
 
-/* Those that waited before take what all engines together free first. */
-static int64_t before_us(const struct forecast_site *s, int n, uint64_t before)
+/* Time in which all engines together free the memory for the requests ahead in the queue. */
+static int64_t queue_wait_us(const struct forecast_engine *s, int n, uint64_t queued_tokens)
 {
 	double rate = 0;
 	int i;
 
-	if (!before) return 0;
+	if (!queued_tokens) return 0;
 	for (i = 0; i < n; i++) {
 		double one = s[i].usable_in_us == FORECAST_NEVER ? 0 : freed_per_us(&s[i]);
 
 		if (one > 0) rate += one;
 	}
-	return rate > 0 ? (int64_t)((double)before / rate) : FORECAST_NEVER;
+	return rate > 0 ? (int64_t)((double)queued_tokens / rate) : FORECAST_NEVER;
 }
 
-/* Runs that have to end before need fits; the more, the closer comes what is expected. */
-static double ends_needed(const struct forecast_site *s, uint32_t need)
+/* Number of generations that have to end before need tokens fit. The larger it is, the less the
+ * actual time deviates from the mean. */
+static double runs_to_finish(const struct forecast_engine *s, uint32_t need)
 {
 	double over = (double)s->used + need - (double)s->tokens * FULL_PERCENT / 100;
 	double each = s->runs ? (double)s->used / s->runs : 0;
@@ -59,24 +61,25 @@
 	return each > 0 && over > each ? over / each : 1;
 }
 
-/* The first of many engines has room sooner than any one is expected to: of n that are alike,
- * and where one run has to end, in an n-th of the time of one. */
-int64_t forecast_room_us(const struct forecast_site *s, int n, uint32_t need, uint64_t before)
+/* The minimum over several engines is below the mean of any one: among n equal engines of which
+ * one generation has to end, it is an n-th of one engine's mean. */
+int64_t forecast_wait_us(const struct forecast_engine *s, int n, uint32_t need,
+			 uint64_t queued_tokens)
 {
-	int64_t first = before_us(s, n, before), us;
-	double rate = 0, ends = 0, best = INFINITY;
-	int i, able = 0;
+	int64_t queue_us = queue_wait_us(s, n, queued_tokens), us;
+	double rate = 0, finishes = 0, best = INFINITY;
+	int i, waiting = 0;
 
 	for (i = 0; i < n; i++) {
 		if (s[i].usable_in_us == FORECAST_NEVER) continue;
-		us = room_us(&s[i], need);
+		us = engine_wait_us(&s[i], need);
 		if (us <= s[i].usable_in_us && us < best) best = us;
 		if (us == FORECAST_NEVER || us <= s[i].usable_in_us) continue;
 		rate += 1.0 / (double)us;
-		ends += ends_needed(&s[i], need);
-		able++;
+		finishes += runs_to_finish(&s[i], need);
+		waiting++;
 	}
-	if (able) best = fmin(best, able / rate * pow(able, -able / ends));
-	if (isinf(best) || first == FORECAST_NEVER) return FORECAST_NEVER;
-	return (int64_t)best + first;
+	if (waiting) best = fmin(best, waiting / rate * pow(waiting, -waiting / finishes));
+	if (isinf(best) || queue_us == FORECAST_NEVER) return FORECAST_NEVER;
+	return (int64_t)best + queue_us;
 }
--- a/src/core/limit.c
+++ b/src/core/limit.c
@@ -1,20 +1,20 @@
-/* Which of two words of a server counts. */
+/* Decides which of two announcements of a server's rate limit is in force. */
 #include <saddlehead/limit.h>
 
-static int is_stricter(const struct limit_word *a, const struct limit_word *b)
+static int is_stricter(const struct limit_report *a, const struct limit_report *b)
 {
 	if (a->per_s < 0) return 0;
 	return b->per_s < 0 || a->per_s < b->per_s;
 }
 
-int limit_take(struct limit_word *known, const struct limit_word *w)
+int limit_update(struct limit_report *current, const struct limit_report *report)
 {
-	double before = known->to_us ? known->per_s : LIMIT_NONE;
+	double before = current->to_us ? current->per_s : LIMIT_NONE;
 
-	if (known->to_us) {
-		if (w->to_us <= known->from_us) return 0;
-		if (w->from_us < known->to_us && is_stricter(known, w)) return 0;
+	if (current->to_us) {
+		if (report->to_us <= current->from_us) return 0;
+		if (report->from_us < current->to_us && is_stricter(current, report)) return 0;
 	}
-	*known = *w;
-	return known->per_s != before;
+	*current = *report;
+	return current->per_s != before;
 }
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -3,21 +3,21 @@
 #include <glib.h>
 #include <string.h>
 
-#define TRY_DEAD_EVERY 5
-#define PASS_ON_FACTOR 3 /* each piece of news is passed on this times log2(members) */
+#define PROBE_DEAD_EVERY 5
+#define FORWARD_FACTOR 3 /* an update is forwarded this many times log2(members) */
 
 struct member {
 	struct mbr_info info;
-	int64_t pinged_us; /* 0: nothing is owed */
+	int64_t pinged_us; /* first unanswered heartbeat; 0: none */
 	int64_t suspect_us, dead_us;
-	uint32_t passed_on;
+	uint32_t forwarded;
 };
 
 struct mbr {
 	struct mbr_config cfg;
 	struct member *self;
 	GHashTable *by_id;
-	GPtrArray *order; /* shuffled; probed in turn */
+	GPtrArray *order; /* shuffled; probed round-robin */
 	guint next, window;
 	uint32_t probes;
 	GRand *rand;
@@ -57,51 +57,53 @@
 	g_free(m);
 }
 
-/* Somebody calls this instance less than it is: a higher incarnation puts that right. */
-static int refute(struct mbr *m, const struct mbr_info *news)
+/* A peer reports this instance in a worse state than its own: a higher incarnation overrides
+ * that. */
+static int refute(struct mbr *m, const struct mbr_info *update)
 {
 	struct mbr_info *self = &m->self->info;
 
-	if (news->incarnation < self->incarnation) return 0;
-	if (news->incarnation == self->incarnation && news->state <= self->state) return 0;
-	self->incarnation = news->incarnation + 1;
-	m->self->passed_on = 0;
+	if (update->incarnation < self->incarnation) return 0;
+	if (update->incarnation == self->incarnation && update->state <= self->state) return 0;
+	self->incarnation = update->incarnation + 1;
+	m->self->forwarded = 0;
 	return 1;
 }
 
-static int overrides(const struct mbr_info *news, const struct mbr_info *old)
+static int overrides(const struct mbr_info *update, const struct mbr_info *old)
 {
-	if (news->incarnation != old->incarnation) return news->incarnation > old->incarnation;
-	return news->state > old->state;
+	if (update->incarnation != old->incarnation)
+		return update->incarnation > old->incarnation;
+	return update->state > old->state;
 }
 
 static void set_state(struct member *x, enum mbr_state s, int64_t now)
 {
 	x->info.state = s;
-	x->passed_on = 0;
+	x->forwarded = 0;
 	if (s == MBR_SUSPECT) x->suspect_us = now;
 	if (s == MBR_DEAD) x->dead_us = now;
 	if (s < MBR_SUSPECT) x->pinged_us = 0;
 }
 
-int mbr_apply(struct mbr *m, const struct mbr_info *news, int64_t now_us)
+int mbr_apply(struct mbr *m, const struct mbr_info *update, int64_t now_us)
 {
-	struct member *x = g_hash_table_lookup(m->by_id, &news->id);
+	struct member *x = g_hash_table_lookup(m->by_id, &update->id);
 
-	if (x == m->self) return refute(m, news);
-	if (!x && news->state == MBR_DEAD) return 0;
+	if (x == m->self) return refute(m, update);
+	if (!x && update->state == MBR_DEAD) return 0;
 	if (!x) {
-		x = member_add(m, news);
-		set_state(x, news->state, now_us);
+		x = member_add(m, update);
+		set_state(x, update->state, now_us);
 		return 1;
 	}
-	if (!overrides(news, &x->info)) return 0;
-	x->info = *news;
-	set_state(x, news->state, now_us);
+	if (!overrides(update, &x->info)) return 0;
+	x->info = *update;
+	set_state(x, update->state, now_us);
 	return 1;
 }
 
-int mbr_heard(struct mbr *m, uint64_t id, int64_t now_us)
+int mbr_seen(struct mbr *m, uint64_t id, int64_t now_us)
 {
 	struct member *x = g_hash_table_lookup(m->by_id, &id);
 
@@ -111,14 +113,15 @@
 	return 0;
 }
 
-/* Now and then one of the dead is tried: a cut that heals is found by nobody else. */
-static int probed(const struct mbr *m, const struct member *x, int dead)
+/* A dead member is probed occasionally, as nothing else detects that a network partition has
+ * healed. */
+static int is_probe_target(const struct mbr *m, const struct member *x, int dead)
 {
 	return x != m->self && (x->info.state == MBR_DEAD) == dead;
 }
 
-static uint32_t probe_kind(struct mbr *m, int64_t now_us, int dead, struct mbr_info *out,
-			   uint32_t max)
+static uint32_t probe_members(struct mbr *m, int64_t now_us, int dead, struct mbr_info *out,
+			      uint32_t max)
 {
 	struct member *x;
 	uint32_t n = 0;
@@ -127,7 +130,7 @@
 	for (i = 0; i < m->order->len && n < max; i++) {
 		if (m->next >= m->order->len) m->next = 0;
 		x = m->order->pdata[m->next++];
-		if (!probed(m, x, dead)) continue;
+		if (!is_probe_target(m, x, dead)) continue;
 		if (!dead && !x->pinged_us) x->pinged_us = now_us;
 		out[n++] = x->info;
 	}
@@ -138,8 +141,8 @@
 {
 	uint32_t n = 0;
 
-	if (++m->probes % TRY_DEAD_EVERY == 0) n = probe_kind(m, now_us, 1, out, 1);
-	return n ? n : probe_kind(m, now_us, 0, out, max);
+	if (++m->probes % PROBE_DEAD_EVERY == 0) n = probe_members(m, now_us, 1, out, 1);
+	return n ? n : probe_members(m, now_us, 0, out, max);
 }
 
 static void forget(struct mbr *m, guint i)
@@ -179,15 +182,15 @@
 	return changed;
 }
 
-static uint32_t pass_on_limit(const struct mbr *m)
+static uint32_t forward_limit(const struct mbr *m)
 {
 	uint32_t bits = 1, n = m->order->len;
 
 	while (n >>= 1) bits++;
-	return bits * PASS_ON_FACTOR;
+	return bits * FORWARD_FACTOR;
 }
 
-static struct member *least_passed_on(struct mbr *m, uint32_t limit,
+static struct member *least_forwarded(struct mbr *m, uint32_t limit,
 				      const struct mbr_info *taken, uint32_t ntaken)
 {
 	struct member *x, *best = NULL;
@@ -196,7 +199,7 @@
 
 	for (i = 0; i < m->order->len; i++) {
 		x = m->order->pdata[i];
-		if (x->passed_on >= limit || (best && x->passed_on >= best->passed_on))
+		if (x->forwarded >= limit || (best && x->forwarded >= best->forwarded))
 			continue;
 		for (k = 0; k < ntaken && taken[k].id != x->info.id; k++)
 			;
@@ -207,13 +210,13 @@
 
 uint32_t mbr_gossip(struct mbr *m, struct mbr_info *out, uint32_t max)
 {
-	uint32_t n, limit = pass_on_limit(m);
+	uint32_t n, limit = forward_limit(m);
 	struct member *x;
 
 	for (n = 0; n < max; n++) {
-		x = least_passed_on(m, limit, out, n);
+		x = least_forwarded(m, limit, out, n);
 		if (!x) break;
-		x->passed_on++;
+		x->forwarded++;
 		out[n] = x->info;
 	}
 	return n;
@@ -273,5 +276,5 @@
 	if (m->self->info.state == MBR_LEAVING) return;
 	m->self->info.state = MBR_LEAVING;
 	m->self->info.incarnation++;
-	m->self->passed_on = 0;
+	m->self->forwarded = 0;
 }
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -1,133 +1,141 @@
-/* Costs of backend servers for a request, and the cheapest of them. */
+/* Computes the cost of each backend server for a request and selects the cheapest. */
 #include <saddlehead/place.h>
 #include <stdlib.h>
 
 /* Weights of a generation's cost, in prompt tokens that would delay its first token as much. */
-#define RUN_COST 40        /* each request beside it slows every step a little */
-#define HOLD_UP_PERCENT 20 /* of a prompt, for each request that its reading holds up */
-#define PRESSURE_COST 1    /* each token of memory over the mark risks a preemption */
-#define QUEUE_COST 1000    /* each request more than an engine runs at once waits for another */
-#define AWAY_COST 300      /* there and back between regions */
-#define TIE 64             /* costs closer than this are equal */
-
-/* Tokens that an engine reads in a millisecond between those that it makes. */
-#define READ_PER_MS 7
-/* Prompts that lie unread for so long keep others from it: memory elsewhere is free again by
- * then, where runs end every few ms. */
-#define CROWDED_US 300000
-#define HOLD_PART 3 /* of the aim: the prompt itself takes about as much again */
-
-/* Parts of memory, in percent. */
-#define PRESSURE_PERCENT 85 /* the mark: lengths are guesses */
-#define FULL_PERCENT 95     /* above it a request would soon press another out */
-/* Of all memory, beyond which no copies are kept: more take room and places that requests need,
- * and a stream of an engine that leaves is moved in time without one. With none, streams of
- * engines that die without a word start anew.
- */
-#define ALL_BACKUP_PERCENT 30
-
-/* Moves and copies. */
-#define FAR_TIMES 2 /* memory moves between data centres in so many times the time */
-/* The same between regions: a long prompt's memory takes seconds over their link. */
-#define AWAY_TIMES 64
-#define ROOM_STEPS 8    /* parts of the memory: within one others choose, too */
-#define FAR_ROOM_STEP 1 /* a copy in another data centre is worth it from so much more room */
+#define RUN_COST 40 /* each concurrent request slows every step a little */
+/* Of the prompt, for each running request that its prefill slows down. */
+#define PREFILL_DELAY_PERCENT 20
+#define PRESSURE_COST 1 /* each token of memory above PRESSURE_PERCENT risks a preemption */
+/* Each request beyond the engine's slots waits for another one to end. */
+#define QUEUE_COST 1000
+#define REGION_COST 300 /* round trip between regions */
+#define COST_STEP 64    /* costs are compared in units of this many tokens */
+
+/* Prompt tokens that an engine prefills per millisecond while it also decodes. */
+#define PREFILL_PER_MS 7
+/* An engine with a longer prefill backlog gets no new generations, as memory elsewhere becomes
+ * free sooner: generations end every few ms. */
+#define BACKLOG_MAX_US 300000
+/* Share (1/3) of the latency objective that may be spent waiting: prefill of the prompt takes
+ * about as much again. */
+#define WAIT_PART 3
+
+/* Thresholds of memory use, in percent. */
+#define PRESSURE_PERCENT 85 /* use above it has a cost: lengths are estimates */
+#define FULL_PERCENT 95     /* above it a request would soon preempt another one */
+/* Memory use of the whole fleet above which no new replicas are created: more would take memory
+ * and slots that requests need, and a stream on an engine that leaves with notice is moved
+ * without one. Streams without a replica restart from the prompt if their engine crashes
+ * without notice. */
+#define REPLICA_USED_MAX_PERCENT 30
+
+/* Moves and replicas. */
+#define DC_LINK_FACTOR 2 /* a transfer to another data centre takes this many times as long */
+/* The same to another region: a long prompt's memory takes seconds over that link. */
+#define REGION_LINK_FACTOR 64
+#define USED_STEPS 8 /* granularity of memory use: servers in the same step are drawn among */
+/* A replica in another data centre has to find this many steps more of memory free. */
+#define OTHER_DC_STEPS 1
 
 /* Plain calls, in microseconds. */
-#define FAR_US 1400   /* a call to another data centre takes about so much longer */
-#define AWAY_US 25000 /* the same to another region, there and back */
-#define DRAW_US 1000  /* calls whose times are closer than this are drawn among */
-#define CALL_US 15000 /* a call's time before any was measured */
-/* Of the usual time of a call: with less left it most likely runs for nobody. */
-#define CALL_LEAST_PERCENT 50
-
-/* A linear congruential generator with well-known factors: breaks ties, hides nothing. */
+#define OTHER_DC_US 1400      /* extra time of a call to another data centre */
+#define OTHER_REGION_US 25000 /* round-trip time to another region */
+#define JITTER_US 1000        /* servers whose times differ by less are drawn among */
+#define CALL_DEFAULT_US 15000 /* assumed time of a call without a sample */
+/* Of the usual time of a call: with less time left it would most likely complete too late. */
+#define CALL_MIN_PERCENT 50
+
+/* Linear congruential generator with the factors of Numerical Recipes. It only breaks ties and
+ * needs no cryptographic strength. */
 static uint32_t next_draw(uint32_t draw)
 {
 	return draw * 1664525u + 1013904223u;
 }
 
-/* From 0 up to n: by the high bits, as the low ones repeat after a few draws. */
-static uint32_t drawn(uint32_t draw, uint32_t n)
+/* Scales draw to 0..n-1 by its high bits, as the low ones have short periods. */
+static uint32_t scale_draw(uint32_t draw, uint32_t n)
 {
 	return (uint32_t)((uint64_t)draw * n >> 32);
 }
 
-/* Others end while it grows: on the mean half of what it will make is in use. */
-static uint64_t need(const struct place_job *j)
+/* Memory that a generation needs. Others end while it grows: on average half of its growth is
+ * in use. */
+static uint64_t memory_needed(const struct place_job *j)
 {
 	return (uint64_t)j->prompt + j->growth / 2;
 }
 
-int place_fits(const struct place_site *s, const struct place_job *j)
+int place_fits(const struct place_server *s, const struct place_job *j)
 {
-	/* What is on its way takes room from its first part on: prompts that were sent there
-	 * meanwhile put off those that ran. */
-	uint64_t taken_now = (uint64_t)s->used + s->inbound;
+	/* Counts memory in transfer from the beginning: otherwise prompts that are sent there
+	 * meanwhile preempt running generations. */
+	uint64_t in_use = (uint64_t)s->used + s->inbound;
 
-	if (!s->tokens || !taken_now) return 1;
-	return (taken_now + need(j)) * 100 <= (uint64_t)s->tokens * FULL_PERCENT;
+	if (!s->tokens || !in_use) return 1;
+	return (in_use + memory_needed(j)) * 100 <= (uint64_t)s->tokens * FULL_PERCENT;
 }
 
-int64_t place_reading_us(uint32_t tokens)
+int64_t place_prefill_us(uint32_t tokens)
 {
-	return (int64_t)tokens * 1000 / READ_PER_MS;
+	return (int64_t)tokens * 1000 / PREFILL_PER_MS;
 }
 
-int place_waits(const struct place_site *s, int64_t waited_us, int64_t aim_us)
+int place_should_wait(const struct place_server *s, int64_t waited_us, int64_t objective_us)
 {
-	if (waited_us >= aim_us / HOLD_PART) return 0;
-	return place_reading_us(s->unread) > CROWDED_US;
+	if (waited_us >= objective_us / WAIT_PART) return 0;
+	return place_prefill_us(s->unread) > BACKLOG_MAX_US;
 }
 
-/* Memory that is spoken for. */
-static uint64_t taken(const struct place_site *s)
+/* Memory that is in use or committed. */
+static uint64_t committed(const struct place_server *s)
 {
-	return (uint64_t)s->held + s->backup + s->inbound;
+	return (uint64_t)s->held + s->replica + s->inbound;
 }
 
-static uint64_t over_mark(const struct place_site *s, const struct place_job *j)
+static uint64_t pressure_excess(const struct place_server *s, const struct place_job *j)
 {
-	uint64_t all = taken(s) + need(j);
+	uint64_t all = committed(s) + memory_needed(j);
 	uint64_t mark = (uint64_t)s->tokens * PRESSURE_PERCENT / 100;
 
 	return s->tokens && all > mark ? all - mark : 0;
 }
 
-/* A step that reads a piece of a prompt takes twice as long for all that run beside it. */
-static uint64_t hold_up_cost(const struct place_site *s, const struct place_job *j)
+/* A step that includes prefill takes twice as long for all running generations. */
+static uint64_t prefill_delay_cost(const struct place_server *s, const struct place_job *j)
 {
-	return (uint64_t)s->runs * j->prompt * HOLD_UP_PERCENT / 100;
+	return (uint64_t)s->runs * j->prompt * PREFILL_DELAY_PERCENT / 100;
 }
 
-static uint64_t generation_cost(const struct place_site *s, const struct place_job *j)
+static uint64_t generation_cost(const struct place_server *s, const struct place_job *j)
 {
-	uint64_t cost = s->unread + (uint64_t)s->runs * RUN_COST + hold_up_cost(s, j);
+	uint64_t cost = s->unread + (uint64_t)s->runs * RUN_COST + prefill_delay_cost(s, j);
 
-	cost += over_mark(s, j) * PRESSURE_COST;
-	if (s->away) cost += AWAY_COST;
+	cost += pressure_excess(s, j) * PRESSURE_COST;
+	if (s->other_region) cost += REGION_COST;
 	if (s->slots && s->runs >= s->slots)
 		cost += (uint64_t)(s->runs - s->slots + 1) * QUEUE_COST;
 	return cost;
 }
 
-/* Cheapest so far, drawn among those that cost the same: many instances choose at once. */
+/* Cheapest candidate so far, drawn at random among equal ones, as many instances choose
+ * concurrently. */
 struct choice {
 	uint64_t cost;
 	uint32_t draw;
-	int at, ties; /* at -1: none yet */
+	int index, ties; /* index -1: none yet */
 };
 
 static void choose(struct choice *c, int i, uint64_t cost)
 {
-	if (c->at >= 0 && cost > c->cost) return;
-	if (c->at < 0 || cost < c->cost) c->ties = 0;
+	if (c->index >= 0 && cost > c->cost) return;
+	if (c->index < 0 || cost < c->cost) c->ties = 0;
 	c->cost = cost;
-	if (drawn(c->draw, (uint32_t)++c->ties) == 0) c->at = i;
+	if (scale_draw(c->draw, (uint32_t)++c->ties) == 0) c->index = i;
 	c->draw = next_draw(c->draw);
 }
 
-static int any_fits(const struct place_site *s, int n, const struct place_job *j)
+static int any_fits(const struct place_server *s, int n, const struct place_job *j)
 {
 	int i;
 
@@ -136,11 +144,11 @@
 	return 0;
 }
 
-/* A candidate by its cost, those of the same cost in random order. */
+/* Candidates are sorted by cost, those of equal cost in random order. */
 struct ranked {
 	uint64_t cost;
 	uint32_t draw;
-	int at;
+	int index;
 };
 
 static int by_cost(const void *a, const void *b)
@@ -153,21 +161,21 @@
 }
 
 /*
- * Of how many of the cheapest one is drawn. All choosers believe about the same, so a rival
- * takes the same one as often as there are few: then this prompt waits for the rival's, which
- * is about as long. Drawing among more costs what they are dearer by. The number for which both
- * together are least.
+ * Number of cheapest candidates to draw among. All choosers have nearly the same view, so a
+ * rival picks the same server with probability 1/size, and then this prompt waits for the
+ * rival's, which is about as long. Drawing among more candidates adds their extra cost.
+ * Returns the size for which the sum of both is lowest.
  */
 static int pool_size(const struct ranked *r, int n, const struct place_job *j)
 {
-	double sum = 0, least = 0, meets = j->rivals * j->prompt / TIE;
+	double sum = 0, least = 0, collisions = j->rivals * j->prompt / COST_STEP;
 	int i, size = 0;
 
 	for (i = 0; i < n; i++) {
 		double cost;
 
 		sum += (double)(r[i].cost - r[0].cost);
-		cost = (sum + meets) / (i + 1);
+		cost = (sum + collisions) / (i + 1);
 		if (size && cost > least) continue;
 		least = cost;
 		size = i + 1;
@@ -175,46 +183,48 @@
 	return size;
 }
 
-/* Where it fits, if it fits anywhere: elsewhere it would wait with room to be had. */
-int place_generation(const struct place_site *s, int n, const struct place_job *j,
+/* Considers only servers where it fits, if there are any: on others it would wait although
+ * memory is free. */
+int place_generation(const struct place_server *s, int n, const struct place_job *j,
 		     uint32_t draw)
 {
-	struct ranked r[PLACE_SITES_MAX];
+	struct ranked r[PLACE_SERVERS_MAX];
 	int i, m = 0, must_fit = any_fits(s, n, j);
 
-	for (i = 0; i < n && m < PLACE_SITES_MAX; i++) {
+	for (i = 0; i < n && m < PLACE_SERVERS_MAX; i++) {
 		if (!s[i].usable || (must_fit && !place_fits(&s[i], j))) continue;
 		draw = next_draw(draw);
-		r[m++] = (struct ranked){generation_cost(&s[i], j) / TIE, draw, i};
+		r[m++] = (struct ranked){generation_cost(&s[i], j) / COST_STEP, draw, i};
 	}
 	if (!m) return -1;
 	qsort(r, m, sizeof *r, by_cost);
-	return r[drawn(next_draw(draw), (uint32_t)pool_size(r, m, j))].at;
+	return r[scale_draw(next_draw(draw), (uint32_t)pool_size(r, m, j))].index;
 }
 
-/* When its memory has arrived, in tokens of a near link; those before it come first. */
-static uint64_t arrival_cost(const struct place_site *s, const struct place_job *j)
+/* Time until its memory has arrived, in tokens over a link within a data centre. Transfers
+ * already in progress come first. */
+static uint64_t arrival_cost(const struct place_server *s, const struct place_job *j)
 {
-	if (s->away) return (s->inbound + need(j)) * AWAY_TIMES;
-	return (s->inbound + need(j)) * (s->near ? 1 : FAR_TIMES);
+	if (s->other_region) return (s->inbound + memory_needed(j)) * REGION_LINK_FACTOR;
+	return (s->inbound + memory_needed(j)) * (s->same_dc ? 1 : DC_LINK_FACTOR);
 }
 
-int place_move(const struct place_site *s, int n, const struct place_job *j, uint32_t draw)
+int place_move(const struct place_server *s, int n, const struct place_job *j, uint32_t draw)
 {
-	struct choice c = {.draw = draw, .at = -1};
+	struct choice c = {.draw = draw, .index = -1};
 	int i;
 
 	for (i = 0; i < n; i++) {
-		if (!s[i].usable || over_mark(&s[i], j)) continue;
-		choose(&c, i, arrival_cost(&s[i], j) / TIE);
+		if (!s[i].usable || pressure_excess(&s[i], j)) continue;
+		choose(&c, i, arrival_cost(&s[i], j) / COST_STEP);
 	}
-	return c.at >= 0 ? c.at : place_generation(s, n, j, draw);
+	return c.index >= 0 ? c.index : place_generation(s, n, j, draw);
 }
 
-/* Memory in use on all sites together, in percent. */
-static uint64_t percent_used(const struct place_site *s, int n, const struct place_job *j)
+/* Memory in use on all servers together, in percent. */
+static uint64_t percent_used(const struct place_server *s, int n, const struct place_job *j)
 {
-	uint64_t used = need(j), all = 0;
+	uint64_t used = memory_needed(j), all = 0;
 	int i;
 
 	for (i = 0; i < n; i++) {
@@ -225,35 +235,38 @@
 	return all ? used * 100 / all : 100;
 }
 
-/* Parts of its memory that are taken; a far one must have a part more of it free. */
-static uint64_t room_cost(const struct place_site *s)
+/* Memory in use or committed there, in steps. Another data centre counts as OTHER_DC_STEPS
+ * more. */
+static uint64_t memory_cost(const struct place_server *s)
 {
-	return taken(s) * ROOM_STEPS / s->tokens + (s->near ? 0 : FAR_ROOM_STEP);
+	return committed(s) * USED_STEPS / s->tokens + (s->same_dc ? 0 : OTHER_DC_STEPS);
 }
 
-int place_backup(const struct place_site *s, int n, int main, const struct place_job *j,
-		 uint32_t percent, uint32_t draw)
+int place_replica(const struct place_server *s, int n, int source, const struct place_job *j,
+		  uint32_t percent, uint32_t draw)
 {
-	struct choice c = {.draw = draw, .at = -1};
+	struct choice c = {.draw = draw, .index = -1};
 	int i;
 
-	if (percent_used(s, n, j) > ALL_BACKUP_PERCENT) return -1;
+	if (percent_used(s, n, j) > REPLICA_USED_MAX_PERCENT) return -1;
 	for (i = 0; i < n; i++) {
-		if (i == main || !s[i].usable || s[i].away || !s[i].tokens) continue;
-		if ((taken(&s[i]) + need(j)) * 100 > (uint64_t)s[i].tokens * percent) continue;
-		choose(&c, i, room_cost(&s[i]));
+		if (i == source || !s[i].usable || s[i].other_region || !s[i].tokens) continue;
+		if ((committed(&s[i]) + memory_needed(j)) * 100 >
+		    (uint64_t)s[i].tokens * percent)
+			continue;
+		choose(&c, i, memory_cost(&s[i]));
 	}
-	return c.at;
+	return c.index;
 }
 
-static double answer_us(const struct place_site *s)
+static double answer_us(const struct place_server *s)
 {
-	return s->answer_us > 0 ? s->answer_us : CALL_US;
+	return s->answer_us > 0 ? s->answer_us : CALL_DEFAULT_US;
 }
 
-static double least_answer_us(const struct place_site *s, int n)
+static double least_answer_us(const struct place_server *s, int n)
 {
-	double least_us = CALL_US;
+	double least_us = CALL_DEFAULT_US;
 	int i, any = 0;
 
 	for (i = 0; i < n; i++) {
@@ -264,28 +277,30 @@
 	return least_us;
 }
 
-/* How long a call will take there, in microseconds. One that was slow by chance in its first
- * answers would get none that shows it. */
-static double call_us(const struct place_site *s, double least_us)
+/* Expected time of a call there in microseconds. Samples with high uncertainty are discounted:
+ * otherwise a server whose first responses happened to be slow would get no calls that correct
+ * the average. */
+static double call_us(const struct place_server *s, double least_us)
 {
-	double known_us = answer_us(s);
-	double each =
-		known_us > least_us ? known_us - s->doubt * (known_us - least_us) : known_us;
-	double us = each;
-
-	if (s->slots) us += each * s->runs / s->slots;
-	if (s->slots && s->runs >= s->slots) us += each * (s->runs - s->slots + 1);
-	if (s->away) return us + AWAY_US;
-	return s->near ? us : us + FAR_US;
+	double measured_us = answer_us(s);
+	double answer = measured_us > least_us
+				? measured_us - s->uncertainty * (measured_us - least_us)
+				: measured_us;
+	double us = answer;
+
+	if (s->slots) us += answer * s->runs / s->slots;
+	if (s->slots && s->runs >= s->slots) us += answer * (s->runs - s->slots + 1);
+	if (s->other_region) return us + OTHER_REGION_US;
+	return s->same_dc ? us : us + OTHER_DC_US;
 }
 
-int place_call(const struct place_site *s, int n, uint32_t draw)
+int place_call(const struct place_server *s, int n, uint32_t draw)
 {
 	double us, best_us = 0, least_us = least_answer_us(s, n);
 	int i, best = -1;
 
 	for (i = 0; i < n; i++) {
-		uint32_t jitter_us = drawn(draw, DRAW_US);
+		uint32_t jitter_us = scale_draw(draw, JITTER_US);
 
 		draw = next_draw(draw);
 		if (!s[i].usable) continue;
@@ -297,7 +312,7 @@
 	return best;
 }
 
-int place_call_in_time(const struct place_site *s, int64_t left_us)
+int place_call_in_time(const struct place_server *s, int64_t left_us)
 {
-	return left_us >= s->answer_us * CALL_LEAST_PERCENT / 100;
+	return left_us >= s->answer_us * CALL_MIN_PERCENT / 100;
 }
--- a/src/core/quar.c
+++ b/src/core/quar.c
@@ -1,13 +1,14 @@
-/* What is known of requests under which servers ended. */
+/* Table of requests under which servers crashed. */
 #include "quar.h"
 #include <errno.h>
 #include <glib.h>
 #include <string.h>
 
-/* Blamed for so long at first, and twice as long after each trial that ended a server: a
- * wrongly blamed one is free after a minute, a rightly blamed one costs a server an hour. */
-#define BLOCK_US 60000000LL
-#define BLOCK_DOUBLINGS 6
+/* Duration of the first quarantine, doubled after each trial that crashes a server: a wrongly
+ * quarantined request is free after a minute, a rightly quarantined one costs about one server
+ * per hour. */
+#define QUARANTINE_US 60000000LL
+#define QUARANTINE_DOUBLINGS 6
 
 struct quar *quar_new(void)
 {
@@ -28,32 +29,33 @@
 	return !q->n;
 }
 
-/* ---- ends ---- */
+/* ---- crashes ---- */
 
-const struct quar_end *quar_end_of(const struct quar *q, uint32_t end)
+const struct quar_crash *quar_crash_of(const struct quar *q, uint32_t crash)
 {
-	if (end >= q->nends || q->nends - end > QUAR_ENDS) return NULL;
-	return &q->end[end % QUAR_ENDS];
+	if (crash >= q->ncrashes || q->ncrashes - crash > QUAR_CRASH_LOG) return NULL;
+	return &q->crash[crash % QUAR_CRASH_LOG];
 }
 
-static int same_end(const struct quar_end *e, const char *server, int64_t life)
+static int same_crash(const struct quar_crash *e, const char *server, int64_t incarnation)
 {
-	return e->life == life && !strncmp(e->server, server, sizeof e->server - 1);
+	return e->incarnation == incarnation &&
+	       !strncmp(e->server, server, sizeof e->server - 1);
 }
 
-uint32_t quar_ended(struct quar *q, const char *server, int64_t life, const char *seen_by,
-		    int64_t at_us)
+uint32_t quar_add_crash(struct quar *q, const char *server, int64_t incarnation,
+			const char *seen_by, int64_t at_us)
 {
-	uint32_t first = q->nends > QUAR_ENDS ? q->nends - QUAR_ENDS : 0, i;
-	struct quar_end *e;
+	uint32_t first = q->ncrashes > QUAR_CRASH_LOG ? q->ncrashes - QUAR_CRASH_LOG : 0, i;
+	struct quar_crash *e;
 
-	for (i = q->nends; i-- > first;)
-		if (same_end(&q->end[i % QUAR_ENDS], server, life)) return i;
-	e = &q->end[q->nends % QUAR_ENDS];
-	*e = (struct quar_end){.life = life, .at_us = at_us};
+	for (i = q->ncrashes; i-- > first;)
+		if (same_crash(&q->crash[i % QUAR_CRASH_LOG], server, incarnation)) return i;
+	e = &q->crash[q->ncrashes % QUAR_CRASH_LOG];
+	*e = (struct quar_crash){.incarnation = incarnation, .at_us = at_us};
 	g_strlcpy(e->server, server, sizeof e->server);
 	g_strlcpy(e->seen_by, seen_by, sizeof e->seen_by);
-	return q->nends++;
+	return q->ncrashes++;
 }
 
 /* ---- suspects ---- */
@@ -67,40 +69,40 @@
 	return NULL;
 }
 
-int quar_is_blocked(const struct quar_suspect *s)
+int quar_is_quarantined(const struct quar_suspect *s)
 {
 	return s->round > s->cleared;
 }
 
 int64_t quar_until_us(const struct quar_suspect *s)
 {
-	uint32_t again = s->round - s->cleared - 1;
+	uint32_t failed_trials = s->round - s->cleared - 1;
 
-	return s->blocked_us + (BLOCK_US << MIN(again, BLOCK_DOUBLINGS));
+	return s->quarantined_us + (QUARANTINE_US << MIN(failed_trials, QUARANTINE_DOUBLINGS));
 }
 
 static int64_t last_us(const struct quar_suspect *s)
 {
 	int64_t run_us = s->nruns ? s->run[s->nruns - 1].at_us : 0;
 
-	return MAX(run_us, s->blocked_us);
+	return MAX(run_us, s->quarantined_us);
 }
 
-/* Whether a may be forgotten with less harm than b. */
-static int is_lesser(const struct quar_suspect *a, const struct quar_suspect *b)
+/* Whether evicting a does less harm than evicting b. */
+static int is_less_important(const struct quar_suspect *a, const struct quar_suspect *b)
 {
-	if (quar_is_blocked(a) != quar_is_blocked(b)) return quar_is_blocked(b);
+	if (quar_is_quarantined(a) != quar_is_quarantined(b)) return quar_is_quarantined(b);
 	if (a->nruns != b->nruns) return a->nruns < b->nruns;
 	return last_us(a) < last_us(b);
 }
 
-static struct quar_suspect *least(struct quar *q)
+static struct quar_suspect *least_important(struct quar *q)
 {
 	struct quar_suspect *found = &q->suspect[0];
 	uint32_t i;
 
 	for (i = 1; i < q->n; i++)
-		if (is_lesser(&q->suspect[i], found)) found = &q->suspect[i];
+		if (is_less_important(&q->suspect[i], found)) found = &q->suspect[i];
 	return found;
 }
 
@@ -109,12 +111,12 @@
 	struct quar_suspect *s = (struct quar_suspect *)quar_find(q, fp);
 
 	if (s) return s;
-	s = q->n < QUAR_SUSPECTS ? &q->suspect[q->n++] : least(q);
+	s = q->n < QUAR_SUSPECTS ? &q->suspect[q->n++] : least_important(q);
 	*s = (struct quar_suspect){.fp = *fp};
 	return s;
 }
 
-static void add_run(struct quar_suspect *s, struct quar_run r)
+static void append_run(struct quar_suspect *s, struct quar_run r)
 {
 	if (s->nruns == QUAR_RUNS) {
 		memmove(&s->run[0], &s->run[1], sizeof s->run - sizeof s->run[0]);
@@ -123,21 +125,21 @@
 	s->run[s->nruns++] = r;
 }
 
-int quar_ran(struct quar *q, const struct fp *fp, uint32_t end, int64_t ran_us)
+int quar_add_run(struct quar *q, const struct fp *fp, uint32_t crash, int64_t ran_us)
 {
-	struct quar_end *e = (struct quar_end *)quar_end_of(q, end);
+	struct quar_crash *e = (struct quar_crash *)quar_crash_of(q, crash);
 	struct quar_suspect *s;
 	int i;
 
 	if (!e) return 0;
 	s = quar_suspect_of(q, fp);
-	if (quar_is_blocked(s)) e->explained = 1;
+	if (quar_is_quarantined(s)) e->explained = 1;
 	for (i = 0; i < s->nruns; i++) {
-		if (s->run[i].end != end) continue;
+		if (s->run[i].crash != crash) continue;
 		s->run[i].ran_us = MIN(s->run[i].ran_us, ran_us);
 		return 0;
 	}
-	add_run(s, (struct quar_run){end, e->at_us, ran_us});
+	append_run(s, (struct quar_run){crash, e->at_us, ran_us});
 	return 1;
 }
 
@@ -146,55 +148,56 @@
 	int i;
 
 	for (i = 0; i < s->nruns; i++) {
-		struct quar_end *e = (struct quar_end *)quar_end_of(q, s->run[i].end);
+		struct quar_crash *e = (struct quar_crash *)quar_crash_of(q, s->run[i].crash);
 
 		if (e) e->explained = explained;
 	}
 }
 
-/* The servers that ended under it are not explained by it any more. */
-static void set_free(struct quar *q, struct quar_suspect *s, uint32_t cleared)
+/* Ends the quarantine; the crashes under it are not attributed to it any more. */
+static void release(struct quar *q, struct quar_suspect *s, uint32_t cleared)
 {
 	quar_explain(q, s, 0);
 	s->cleared = cleared;
 	s->nruns = 0;
 }
 
-/* A run came through after it was blamed, or so late before that its ends don't count: who
- * blamed it had not heard. */
-static int shows_it_sound(const struct quar *q, const struct quar_suspect *s, int64_t at_us)
+/* Whether a run that completed at at_us refutes the verdict: it completed after the quarantine
+ * began, or so late before it that too few crashes are left to count, and the instance that set
+ * the quarantine had not received that. */
+static int is_exonerated(const struct quar *q, const struct quar_suspect *s, int64_t at_us)
 {
-	if (at_us > s->blocked_us - QUAR_SOUND_US) return 1;
-	return s->nruns >= QUAR_MOST && quar_count(q, s) < QUAR_MOST;
+	if (at_us > s->quarantined_us - QUAR_SUCCESS_US) return 1;
+	return s->nruns >= QUAR_THRESHOLD && quar_count(q, s) < QUAR_THRESHOLD;
 }
 
-int quar_sound(struct quar *q, const struct fp *fp, int64_t at_us)
+int quar_add_success(struct quar *q, const struct fp *fp, int64_t at_us)
 {
 	struct quar_suspect *s = (struct quar_suspect *)quar_find(q, fp);
 	int counted;
 
-	if (!s || at_us <= s->sound_us) return 0;
+	if (!s || at_us <= s->success_us) return 0;
 	counted = quar_count(q, s);
-	s->sound_us = at_us;
-	if (quar_is_blocked(s) && shows_it_sound(q, s, at_us)) {
-		set_free(q, s, s->round);
+	s->success_us = at_us;
+	if (quar_is_quarantined(s) && is_exonerated(q, s, at_us)) {
+		release(q, s, s->round);
 		return 2;
 	}
 	return quar_count(q, s) < counted;
 }
 
-int quar_hear(struct quar *q, const struct fp *fp, uint32_t round, uint32_t cleared,
-	      int64_t blocked_us)
+int quar_merge(struct quar *q, const struct fp *fp, uint32_t round, uint32_t cleared,
+	       int64_t quarantined_us)
 {
 	struct quar_suspect *s;
 
 	if (!round || cleared > round) return 0;
 	s = quar_suspect_of(q, fp);
 	if (round <= s->round && cleared <= s->cleared) return 0;
-	if (round > s->round) s->blocked_us = blocked_us;
+	if (round > s->round) s->quarantined_us = quarantined_us;
 	s->round = MAX(s->round, round);
-	if (cleared > s->cleared) set_free(q, s, cleared);
-	if (quar_is_blocked(s)) quar_explain(q, s, 1);
+	if (cleared > s->cleared) release(q, s, cleared);
+	if (quar_is_quarantined(s)) quar_explain(q, s, 1);
 	return 1;
 }
 
@@ -202,27 +205,29 @@
 {
 	struct quar_suspect *s = (struct quar_suspect *)quar_find(q, fp);
 
-	if (!s || !quar_is_blocked(s)) return -ENOENT;
-	set_free(q, s, s->round);
-	s->sound_us = now_us;
+	if (!s || !quar_is_quarantined(s)) return -ENOENT;
+	release(q, s, s->round);
+	s->success_us = now_us;
 	return 0;
 }
 
-enum quar_answer quar_ask(const struct quar *q, const struct fp *fp, uint32_t under_way,
-			  int64_t now_us)
+enum quar_action quar_check(const struct quar *q, const struct fp *fp, uint32_t in_flight,
+			    int64_t now_us)
 {
 	const struct quar_suspect *s = quar_find(q, fp);
 	int counted;
 
-	if (!s) return QUAR_FREE;
-	if (quar_is_blocked(s)) {
-		if (now_us < quar_until_us(s) || under_way) return QUAR_BLOCKED;
+	if (!s) return QUAR_ALLOW;
+	if (quar_is_quarantined(s)) {
+		if (now_us < quar_until_us(s) || in_flight) return QUAR_REFUSE;
 		return QUAR_TRIAL;
 	}
 	counted = quar_count(q, s);
-	if (!counted) return QUAR_FREE;
-	/* Each of those may end one more; one is let through whatever has ended. */
-	return MIN(counted, QUAR_MOST - 1) + under_way >= QUAR_MOST ? QUAR_WAIT : QUAR_FREE;
+	if (!counted) return QUAR_ALLOW;
+	/* Each run in flight may crash one more server. One run is let through however many
+	 * have crashed. */
+	return MIN(counted, QUAR_THRESHOLD - 1) + in_flight >= QUAR_THRESHOLD ? QUAR_WAIT
+									      : QUAR_ALLOW;
 }
 
 void quar_each(const struct quar *q, void (*f)(const struct quar_suspect *s, void *arg),
--- a/src/core/quota.c
+++ b/src/core/quota.c
@@ -1,13 +1,15 @@
-/* Shares of what servers bear for a while, and the pace that keeps to them. */
+/* Divides a server's rate limit into shares and paces sends accordingly. */
 #include <saddlehead/quota.h>
 
-#define VIEWS 2 /* parts of a fleet that share it on their own: a cut makes two */
+/* Partitions of the fleet that each use the whole sum: a network partition creates two. */
+#define PARTITIONS 2
 #define COLD_WINDOW_S 1
-#define LIMIT_WINDOW_S 4 /* holds whole requests of a limit below one a second, too */
-/* What a server that names a limit is taken to bear beyond it. */
+/* Long enough to hold whole requests at limits below one per second \. */
+#define LIMIT_WINDOW_S 4
+/* Capacity that a server is assumed to have beyond its announced limit. */
 #define LIMIT_OVER 1.5
 #define LIMIT_SLACK 5
-#define LATE_US 50000 /* what requests may be delayed by one more than another on their way */
+#define DELAY_US 50000 /* variation of the network delay between requests */
 
 static int window_s(const struct quota_bound *b)
 {
@@ -21,29 +23,28 @@
 
 int64_t quota_window_us(const struct quota_bound *b)
 {
-	return window_s(b) * INT64_C(1000000) + LATE_US;
+	return window_s(b) * INT64_C(1000000) + DELAY_US;
 }
 
-/* Whole requests: as many as it takes, and no more than a part of what it bears for each view.
- */
-static uint32_t least(double takes, double bears)
+/* Whole requests: the limit, but at most the part of the capacity for one partition. */
+static uint32_t capped_total(double limit, double capacity)
 {
-	double most = bears / VIEWS;
+	double most = capacity / PARTITIONS;
 
-	return (uint32_t)(most < takes ? most : takes);
+	return (uint32_t)(most < limit ? most : limit);
 }
 
 uint32_t quota_sum(const struct quota_bound *b)
 {
 	const struct quota_cold *c = &b->of.cold;
-	double takes;
+	double limit;
 	uint32_t sum;
 
 	switch (b->kind) {
-	case QUOTA_COLD: return least(c->per_s, c->per_s * c->over + c->slack);
+	case QUOTA_COLD: return capped_total(c->per_s, c->per_s * c->over + c->slack);
 	case QUOTA_LIMIT:
-		takes = b->of.limit.per_s * LIMIT_WINDOW_S;
-		sum = least(takes, takes * LIMIT_OVER + LIMIT_SLACK);
+		limit = b->of.limit.per_s * LIMIT_WINDOW_S;
+		sum = capped_total(limit, limit * LIMIT_OVER + LIMIT_SLACK);
 		return sum ? sum : 1;
 	case QUOTA_KINDS: break;
 	}
@@ -56,17 +57,18 @@
 	return sum / sharers + (rank < sum % sharers);
 }
 
-void quota_set_share(struct quota_pace *p, uint32_t share, int64_t begun_us, int64_t now_us)
+void quota_set_share(struct quota_pace *p, uint32_t share, int64_t earlier_until_us,
+		     int64_t now_us)
 {
-	if (!p->begun)
-		p->sent_us = begun_us;
+	if (!p->started)
+		p->sent_us = earlier_until_us;
 	else if (share && !p->share)
 		p->sent_us = p->sent_us > now_us ? p->sent_us : now_us;
-	p->begun = 1;
+	p->started = 1;
 	p->share = share;
 }
 
-/* Evenly spaced: no window has more than the share, wherever it begins. */
+/* Sends are evenly spaced, so that no window holds more than the share, wherever it begins. */
 static int64_t gap_us(const struct quota_pace *p, const struct quota_bound *b)
 {
 	return quota_window_us(b) / p->share;
@@ -90,7 +92,7 @@
 	p->sent_us = next < most ? next : most;
 }
 
-int64_t quota_turn_us(struct quota_site *s, int n, uint32_t before)
+int64_t quota_slot_us(struct quota_server *s, int n, uint32_t ahead)
 {
 	int i, first;
 
@@ -98,7 +100,7 @@
 		for (first = i = 0; i < n; i++)
 			if (s[i].first_us < s[first].first_us) first = i;
 		if (!n || s[first].first_us == QUOTA_NEVER) return QUOTA_NEVER;
-		if (!before--) return s[first].first_us;
+		if (!ahead--) return s[first].first_us;
 		s[first].first_us += s[first].gap_us;
 	}
 }
--- a/src/core/roles.c
+++ b/src/core/roles.c
@@ -1,12 +1,13 @@
-/* Rank, and what follows from it. */
+/* Ranks instances and derives their roles. */
 #include <saddlehead/roles.h>
 #include <stdlib.h>
 
-#define WATCHERS 3 /* two may be lost at once */
-/* Two ask a store that is away: one of them may be the one that it turns away. */
-#define ASKERS 2
-/* Of rest for each instance: what is asked in spite of others is half a call a second. */
-#define REST_EACH_US 2000000
+#define WATCHERS 3 /* tolerates the loss of two at the same time */
+/* Two instances keep calling a store that does not answer, as it may reject one of them alone.
+ */
+#define RETRIERS 2
+/* Back-off per instance: the fleet makes half a call per second in addition. */
+#define BACKOFF_EACH_US 2000000
 
 static int by_rank(const void *a, const void *b)
 {
@@ -22,14 +23,14 @@
 	return p->link_mbps * ROLES_NARROW_PART < widest_mbps;
 }
 
-void roles_choose(struct roles_peer *p, int n)
+void roles_assign(struct roles_peer *p, int n)
 {
 	int i, active = 0, spare = 0, widest_mbps = 0;
 
 	qsort(p, n, sizeof *p, by_rank);
 	for (i = 0; i < n; i++) {
 		p[i].active = p[i].hub = 0;
-		if (p[i].state == ROLES_AWAY) continue;
+		if (p[i].state == ROLES_GONE) continue;
 		widest_mbps = widest_mbps ? widest_mbps : p[i].link_mbps;
 		p[i].active = active < ROLES_ACTIVE_MIN ||
 			      (active < ROLES_ACTIVE && !is_narrow(&p[i], widest_mbps));
@@ -39,23 +40,23 @@
 	}
 }
 
-/* Who was not heard yet does nothing for others. */
+/* An instance from which nothing was received yet has no duties for others. */
 static int is_up(const struct roles_peer *p)
 {
 	return p->hub && p->state == ROLES_ALIVE;
 }
 
-/* Whether self is among the first so many hubs; those without callers come first. */
-static int among_first(const struct roles_peer *p, int n, int most, int store_down_too)
+/* Whether self is among the first hubs, up to limit; inactive ones come first. */
+static int is_among_first(const struct roles_peer *p, int n, int limit, int any_store_state)
 {
 	int i, active;
 
 	for (active = 0; active <= 1; active++) {
-		for (i = 0; i < n && most > 0; i++) {
+		for (i = 0; i < n && limit > 0; i++) {
 			if (!is_up(&p[i]) || p[i].active != active) continue;
-			if (p[i].store_down && !store_down_too) continue;
+			if (p[i].store_down && !any_store_state) continue;
 			if (p[i].self) return 1;
-			most--;
+			limit--;
 		}
 	}
 	return 0;
@@ -63,15 +64,15 @@
 
 int roles_watches(const struct roles_peer *p, int n)
 {
-	return among_first(p, n, WATCHERS, 0);
+	return is_among_first(p, n, WATCHERS, 0);
 }
 
-int roles_asks(const struct roles_peer *p, int n)
+int roles_retries_store(const struct roles_peer *p, int n)
 {
-	return !roles_store_answers(p, n) && among_first(p, n, ASKERS, 1);
+	return !roles_store_up(p, n) && is_among_first(p, n, RETRIERS, 1);
 }
 
-int roles_store_answers(const struct roles_peer *p, int n)
+int roles_store_up(const struct roles_peer *p, int n)
 {
 	int i;
 
@@ -80,16 +81,16 @@
 	return 0;
 }
 
-int roles_may_ask(const struct roles_old *o, int64_t now_us)
+int roles_may_call(const struct roles_stale *o, int64_t now_us)
 {
-	if (o->asks || (o->hub && o->store_up)) return 1;
-	return now_us >= o->rest_until_us;
+	if (o->retries_store || (o->hub && o->store_up)) return 1;
+	return now_us >= o->backoff_until_us;
 }
 
-/* From 0 to twice the mean. */
-int64_t roles_rest_us(int instances, uint32_t draw)
+/* Uniform between 0 and twice the mean. */
+int64_t roles_backoff_us(int instances, uint32_t draw)
 {
-	double mean_us = (double)instances * REST_EACH_US;
+	double mean_us = (double)instances * BACKOFF_EACH_US;
 
 	return (int64_t)(2 * mean_us * draw / UINT32_MAX);
 }
--- a/src/core/rollout.c
+++ b/src/core/rollout.c
@@ -1,13 +1,13 @@
-/* Stages of bringing in a version, and how much of the traffic a canary may get. */
+/* Stages of a rollout, and the share of traffic for a canary. */
 #include <saddlehead/rollout.h>
 
-/* Of an order's time the shift lasts so long at the least: a version that is bad under load
- * shows it then. */
+/* Minimum duration of ROLLOUT_SHIFT as a fraction of the order's time: a version that fails
+ * under load shows it then. */
 #define SHIFT_MIN_PART 0.1
-/* One that began after the order's time is over ends after so long. */
+/* A shift that reaches past the order's time ends after this long. */
 #define SHIFT_MAX_US 5000000
-/* Of what is allowed, for canaries: the rest covers the shift of a version that turns bad
- * then. */
+/* Fractions of the allowed exposure for canaries: the rest covers the shift of a version that
+ * fails only then. */
 #define CANARY_SHARE_PART 0.75
 #define CANARY_SLACK_PART 0.5
 
@@ -40,7 +40,7 @@
 	return s->stage;
 }
 
-int rollout_moves_off(const struct rollout_state *s)
+int rollout_must_move(const struct rollout_state *s)
 {
 	if (s->stage == ROLLOUT_COMPLETED) return 1;
 	return s->stage == ROLLOUT_SHIFT && s->age_us >= part_of(s, ROLLOUT_MOVE_PART);
@@ -48,7 +48,7 @@
 
 int rollout_may_expose(const struct rollout_use *u, double share, double slack)
 {
-	double most = (double)u->requests * share * CANARY_SHARE_PART;
+	double allowed = (double)u->requests * share * CANARY_SHARE_PART;
 
-	return (double)u->exposed + 1 <= most + slack * CANARY_SLACK_PART;
+	return (double)u->exposed + 1 <= allowed + slack * CANARY_SLACK_PART;
 }
--- a/src/core/rollout_judge.c
+++ b/src/core/rollout_judge.c
@@ -1,28 +1,30 @@
-/* Whether a version's answers are worse than those of the version before, in the same time. */
+/* Compares the responses of two versions in the same period. */
 #include <math.h>
 #include <saddlehead/rollout.h>
 #include <string.h>
 
 #define FIRST_CLASS_US 5000.0
 #define CLASS_FACTOR 1.5
-#define SLOW_CLASSES 3 /* over the old version's median: at least 2.25 times as long */
+#define SLOW_CLASSES 3 /* above the old version's median: at least 2.25 times as long */
 
-/* A version is bad where its share of bad answers can't be by chance TIMES that of the old one
- * and a margin: other troubles meet servers of both, and seldom evenly. */
+/* A version is bad if its failure rate is significantly higher than BAD_TIMES (SLOW_TIMES) the
+ * old version's plus a margin. Unrelated faults affect servers of both versions, and rarely
+ * evenly. */
 #define BAD_TIMES 2.0
 #define BAD_MARGIN 0.04
 #define SLOW_TIMES 1.5
 #define SLOW_MARGIN 0.1
-#define BAD_MIN 4 /* answers: fewer are chance, whatever their share */
-#define CHANCE 1e-5
-/* Answers of the old version, for a comparison. */
+#define BAD_MIN 4 /* failed responses: fewer may be chance, whatever their rate */
+#define CHANCE_MAX 1e-5
+/* Responses of the old version that a comparison needs. */
 #define OLD_MIN 20
 
-#define GOOD_MIN 20      /* answers of the new version, ... */
-#define GOOD_ROUTE_MIN 6 /* ... and on each route with a tenth of the old one's */
+#define GOOD_MIN 20 /* responses of the new version */
+/* Responses of the new version on each route with at least a tenth of the old version's. */
+#define GOOD_ROUTE_MIN 6
 #define GOOD_ROUTE_PART 10
 #define GOOD_LAST_MIN 10
-#define GOOD_LAST_CLEAN_MIN 3 /* the same, if none of them was bad */
+#define GOOD_LAST_CLEAN_MIN 3 /* the same if none of them failed */
 
 static int class_of(int64_t us)
 {
@@ -43,8 +45,8 @@
 	return &t->route[t->n++];
 }
 
-void rollout_note(struct rollout_tally *t, uint32_t route, enum rollout_side side, int bad,
-		  int64_t took_us)
+void rollout_record(struct rollout_tally *t, uint32_t route, enum rollout_side side, int bad,
+		    int64_t took_us)
 {
 	struct rollout_count *c = &route_of(t, route)->of[side];
 
@@ -74,8 +76,8 @@
 	}
 }
 
-/* The probability that of n at least k happen, each with probability p. */
-static double tail(uint32_t n, uint32_t k, double p)
+/* Probability of at least k successes in n trials, each with probability p. */
+static double binomial_tail(uint32_t n, uint32_t k, double p)
 {
 	double each, sum = 0;
 	uint32_t i;
@@ -98,17 +100,17 @@
 
 static int is_worse(struct share new, struct share old, double times, double margin)
 {
-	double usual = times * old.bad / old.all + margin;
+	double tolerated = times * old.bad / old.all + margin;
 
-	return new.bad >= BAD_MIN &&tail(new.all, new.bad, usual) < CHANCE;
+	return new.bad >= BAD_MIN &&binomial_tail(new.all, new.bad, tolerated) < CHANCE_MAX;
 }
 
-static struct share bad_of(const struct rollout_count *c)
+static struct share bad_share(const struct rollout_count *c)
 {
 	return (struct share){c->bad, c->answers};
 }
 
-static uint32_t timed(const struct rollout_count *c)
+static uint32_t timed_answers(const struct rollout_count *c)
 {
 	uint32_t n = 0;
 	int i;
@@ -119,7 +121,7 @@
 
 static int median(const struct rollout_count *c)
 {
-	uint32_t half = timed(c) / 2, n = 0;
+	uint32_t half = timed_answers(c) / 2, n = 0;
 	int i;
 
 	for (i = 0; i < ROLLOUT_TIMES - 1; i++) {
@@ -129,35 +131,35 @@
 	return i;
 }
 
-/* Answers of a class from that one on. */
-static struct share slow_of(const struct rollout_count *c, int from)
+/* Responses in class from or a slower one. */
+static struct share slow_share(const struct rollout_count *c, int from)
 {
-	struct share s = {0, timed(c)};
+	struct share s = {0, timed_answers(c)};
 	int i;
 
 	for (i = from; i < ROLLOUT_TIMES; i++) s.bad += c->times[i];
 	return s;
 }
 
-static void explain(struct rollout_reason *why, uint32_t route, int slow, struct share new,
-		    struct share old)
+static void set_reason(struct rollout_reason *why, uint32_t route, int slow, struct share new,
+		       struct share old)
 {
 	*why = (struct rollout_reason){route, slow, new.bad, new.all, old.bad, old.all};
 }
 
-/* Of one route, or of all together. */
+/* Judges one route, or all together. */
 static int is_bad(const struct rollout_route *r, struct rollout_reason *why)
 {
 	const struct rollout_count *old = &r->of[ROLLOUT_OLD], *new = &r->of[ROLLOUT_NEW];
 	int from = median(old) + SLOW_CLASSES;
 
-	explain(why, r->key, 0, bad_of(new), bad_of(old));
+	set_reason(why, r->key, 0, bad_share(new), bad_share(old));
 	if (old->answers >= OLD_MIN &&
-	    is_worse(bad_of(new), bad_of(old), BAD_TIMES, BAD_MARGIN))
+	    is_worse(bad_share(new), bad_share(old), BAD_TIMES, BAD_MARGIN))
 		return 1;
-	if (timed(old) < OLD_MIN || from >= ROLLOUT_TIMES) return 0;
-	explain(why, r->key, 1, slow_of(new, from), slow_of(old, from));
-	return is_worse(slow_of(new, from), slow_of(old, from), SLOW_TIMES, SLOW_MARGIN);
+	if (timed_answers(old) < OLD_MIN || from >= ROLLOUT_TIMES) return 0;
+	set_reason(why, r->key, 1, slow_share(new, from), slow_share(old, from));
+	return is_worse(slow_share(new, from), slow_share(old, from), SLOW_TIMES, SLOW_MARGIN);
 }
 
 static int is_covered(const struct rollout_tally *t, uint32_t old_answers)
@@ -194,11 +196,12 @@
 		for (side = 0; side < ROLLOUT_SIDES; side++)
 			add_count(&all.of[side], &t->route[i].of[side]);
 	}
-	/* Times of routes together say nothing: a canary may get more of the long ones. */
-	explain(why, 0, 0, bad_of(&all.of[ROLLOUT_NEW]), bad_of(&all.of[ROLLOUT_OLD]));
+	/* Response times are not compared over all routes: the mix of routes may differ between
+	 * the versions. */
+	set_reason(why, 0, 0, bad_share(&all.of[ROLLOUT_NEW]), bad_share(&all.of[ROLLOUT_OLD]));
 	if (why->old_all >= OLD_MIN &&
-	    is_worse(bad_of(&all.of[ROLLOUT_NEW]), bad_of(&all.of[ROLLOUT_OLD]), BAD_TIMES,
-		     BAD_MARGIN))
+	    is_worse(bad_share(&all.of[ROLLOUT_NEW]), bad_share(&all.of[ROLLOUT_OLD]),
+		     BAD_TIMES, BAD_MARGIN))
 		return ROLLOUT_BAD;
 	return is_good(t, &all, last) ? ROLLOUT_GOOD : ROLLOUT_OPEN;
 }
--- a/src/core/share.c
+++ b/src/core/share.c
@@ -13,7 +13,7 @@
 	}
 }
 
-static struct share_holder *find(struct share_home *h, uint64_t member, uint32_t held)
+static struct share_holder *find_or_add(struct share_home *h, uint64_t member, uint32_t held)
 {
 	uint32_t i;
 
@@ -24,23 +24,23 @@
 	return &h->holder[h->n++];
 }
 
-static uint32_t most(uint32_t a, uint32_t b)
+static uint32_t max_u32(uint32_t a, uint32_t b)
 {
 	return a > b ? a : b;
 }
 
-static uint32_t least(uint32_t a, uint32_t b)
+static uint32_t min_u32(uint32_t a, uint32_t b)
 {
 	return a < b ? a : b;
 }
 
 static uint32_t used(const struct share_holder *x)
 {
-	return most(most(x->share, x->held), x->running);
+	return max_u32(max_u32(x->share, x->held), x->running);
 }
 
-/* What the others hold or still run. */
-static uint64_t taken_by_others(const struct share_home *h, const struct share_holder *x)
+/* Sum of what the other holders may use or still run. */
+static uint64_t held_by_others(const struct share_home *h, const struct share_holder *x)
 {
 	uint64_t sum = 0;
 	uint32_t i;
@@ -50,9 +50,10 @@
 	return sum;
 }
 
-/* Max-min fair by demand; what nobody asks for is spread evenly, so that it is there at once.
- */
-static uint32_t fair(const struct share_home *h, const struct share_holder *x, uint32_t ceiling)
+/* Max-min fair share by demand. Capacity without demand is divided evenly, so that it is
+ * available at once. */
+static uint32_t fair_share(const struct share_home *h, const struct share_holder *x,
+			   uint32_t ceiling)
 {
 	uint64_t demand = 0, left = ceiling;
 	uint32_t i, level, open = h->n;
@@ -70,31 +71,31 @@
 				open++;
 		}
 	} while (open && left / open > level);
-	return least(x->demand, level);
+	return min_u32(x->demand, level);
 }
 
-uint32_t share_answer(struct share_home *h, uint64_t member, const struct share_ask *ask,
-		      uint32_t ceiling, int64_t now_us)
+uint32_t share_grant(struct share_home *h, uint64_t member, const struct share_request *req,
+		     uint32_t ceiling, int64_t now_us)
 {
 	struct share_holder *x;
 	uint64_t others;
 	uint32_t free_now, want;
 
 	drop_lapsed(h, now_us);
-	x = find(h, member, ask->held);
+	x = find_or_add(h, member, req->held);
 	if (!x) return 0;
-	x->held = ask->held;
-	x->running = ask->running;
-	x->demand = ask->demand;
+	x->held = req->held;
+	x->running = req->running;
+	x->demand = req->demand;
 	x->until_us = now_us + SHARE_TTL_HOME_US;
-	others = taken_by_others(h, x);
+	others = held_by_others(h, x);
 	free_now = others < ceiling ? (uint32_t)(ceiling - others) : 0;
-	want = now_us - h->born_us < SHARE_GRACE_US ? ask->held : fair(h, x, ceiling);
-	x->share = least(want, free_now);
+	want = now_us - h->created_us < SHARE_GRACE_US ? req->held : fair_share(h, x, ceiling);
+	x->share = min_u32(want, free_now);
 	return x->share;
 }
 
-uint32_t share_part(uint32_t ceiling, uint32_t keepers)
+uint32_t share_default(uint32_t ceiling, uint32_t keepers)
 {
 	return ceiling / (keepers ? keepers : 1);
 }
--- a/src/core/spread.c
+++ b/src/core/spread.c
@@ -1,24 +1,25 @@
-/* Which hub tells whom, and what news make complete. */
+/* Decides which hub serves which instance, and whether an update is contiguous. */
 #include <saddlehead/spread.h>
 
-/* Another order for each instance; the factors are odd, with bits all over. */
-static uint32_t order_for(uint32_t hub, uint32_t to)
+/* Sort key of a hub for an instance; a different order for each instance. The factors are odd,
+ * with bits set throughout the word. */
+static uint32_t rank_key(uint32_t hub, uint32_t to)
 {
 	uint32_t x = (hub ^ to) * 2654435761u;
 
 	return (x ^ x >> 15) * 2246822519u;
 }
 
-/* How many of the others come before self, those of the data centre alone (0: of any). */
+/* Rank of self among the hubs for an instance; only hubs in data centre dc count (0: all). */
 static int rank_for(const struct spread_hub *self, const struct spread_hub *hubs, int n,
 		    uint32_t to, uint32_t dc)
 {
-	uint32_t mine = order_for(self->hash, to);
-	int i, before = 0;
+	uint32_t own_key = rank_key(self->hash, to);
+	int i, rank = 0;
 
 	for (i = 0; i < n; i++)
-		if (!dc || hubs[i].dc == dc) before += order_for(hubs[i].hash, to) < mine;
-	return before;
+		if (!dc || hubs[i].dc == dc) rank += rank_key(hubs[i].hash, to) < own_key;
+	return rank;
 }
 
 static int any_of(const struct spread_hub *hubs, int n, uint32_t dc)
@@ -30,14 +31,14 @@
 	return 0;
 }
 
-int spread_tells(const struct spread_hub *self, const struct spread_hub *hubs, int n,
-		 uint32_t to)
+int spread_is_primary(const struct spread_hub *self, const struct spread_hub *hubs, int n,
+		      uint32_t to)
 {
-	return rank_for(self, hubs, n, to, 0) < SPREAD_TELLERS;
+	return rank_for(self, hubs, n, to, 0) < SPREAD_PRIMARIES;
 }
 
-int spread_passes_on(const struct spread_hub *self, const struct spread_hub *hubs, int n,
-		     uint32_t to, uint32_t dc)
+int spread_forwards(const struct spread_hub *self, const struct spread_hub *hubs, int n,
+		    uint32_t to, uint32_t dc)
 {
 	int near = dc && self->dc == dc;
 
@@ -45,7 +46,7 @@
 	return !rank_for(self, hubs, n, to, near ? dc : 0);
 }
 
-int spread_take(uint64_t *complete, uint64_t after, uint64_t upto)
+int spread_apply(uint64_t *complete, uint64_t after, uint64_t upto)
 {
 	if (*complete < after) return 0;
 	if (upto > *complete) *complete = upto;
--- a/src/core/tbl_parse.c
+++ b/src/core/tbl_parse.c
@@ -1,4 +1,5 @@
-/* Reading the operators' table from JSON: every field is checked, errors name row and field. */
+/* Parses the operators' table from JSON. Every field is validated; errors name the row and the
+ * field. */
 #include "tbl.h"
 #include "hash.h"
 #include <errno.h>
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -99,7 +99,7 @@
 
 	dl_read_where(&h->hp.head, &w);
 	n = mesh_addresses(all, ADDRESSES_CANDIDATES, w.region[0] ? w.region : NULL,
-			   board_conf() && conf_binds_regions(board_conf(), w.host));
+			   board_conf() && conf_restricts_regions(board_conf(), w.host));
 	if (!n) {
 		hs_answer(h, 503, NULL, "", 0);
 		return;
--- a/src/fleet/board.c
+++ b/src/fleet/board.c
@@ -84,7 +84,7 @@
 
 int board_take_news(uint64_t after, uint64_t upto)
 {
-	return spread_take(&revs.backends, after, upto);
+	return spread_apply(&revs.backends, after, upto);
 }
 
 void board_confirm(uint64_t revision, int64_t at_us)
--- a/src/fleet/limit.c
+++ b/src/fleet/limit.c
@@ -39,12 +39,12 @@
 }
 
 /* 1 when the number in force changed. */
-static int take(struct be *b, const struct limit_word *w, const char *said_by)
+static int take(struct be *b, const struct limit_report *w, const char *said_by)
 {
 	int was_limited = be_limited(b);
 
 	if (w->per_s >= 0) any_limited = 1;
-	if (!limit_take(&b->limit, w)) return 0;
+	if (!limit_update(&b->limit, w)) return 0;
 	log_limit(b, said_by);
 	if (was_limited == be_limited(b)) return 1;
 	b->limited_us = clock_us(); /* or since when it is over */
@@ -73,7 +73,7 @@
 {
 	int64_t now = clock_us(), in_1000, from_ago, to_ago;
 	char id[ENTRY_TEXT_MAX + 1];
-	struct limit_word w;
+	struct limit_report w;
 	struct be *b;
 
 	if (mesh_text(&o[0], id, sizeof id)) return -EBADMSG;
@@ -166,7 +166,7 @@
 
 void limit_said(struct be *b, double per_s, int64_t sent_us)
 {
-	struct limit_word w = {per_s < 0 ? LIMIT_NONE : per_s, sent_us, clock_us()};
+	struct limit_report w = {per_s < 0 ? LIMIT_NONE : per_s, sent_us, clock_us()};
 
 	note_heard(b);
 	if (take(b, &w, "itself")) tell_all(b);
--- a/src/fleet/mesh_part.c
+++ b/src/fleet/mesh_part.c
@@ -21,7 +21,7 @@
 };
 
 static GHashTable *known; /* address -> struct known */
-static struct part_life life;
+static struct part_incarnation life;
 static int stale = 1;
 static int64_t looked_us, waits_until_us;
 static double part;
@@ -57,7 +57,7 @@
 
 void mesh_part_heard(const struct member *m)
 {
-	life.heard = 1;
+	life.seen_others = 1;
 	know_heard(m->ip, m->link_mbps, clock_us());
 }
 
@@ -177,8 +177,8 @@
 	forget(now);
 	if (!is_to_be_worked_out(now)) return part;
 	peers = all_known();
-	part = part_mine(&life, (struct roles_peer *)(void *)peers->data, (int)peers->len,
-			 window_us, now);
+	part = part_of_self(&life, (struct roles_peer *)(void *)peers->data, (int)peers->len,
+			    window_us, now);
 	g_array_free(peers, TRUE);
 	stale = 0;
 	waits_until_us = now + WAIT_US;
--- a/src/fleet/mesh_poison.c
+++ b/src/fleet/mesh_poison.c
@@ -158,7 +158,7 @@
 	pack_fp(p, &s->fp);
 	msgpack_pack_uint32(p, s->round);
 	msgpack_pack_uint32(p, s->cleared);
-	msgpack_pack_int64(p, MAX(clock_us() - s->blocked_us, 0) / 1000);
+	msgpack_pack_int64(p, MAX(clock_us() - s->quarantined_us, 0) / 1000);
 }
 
 static void count_verdict(const struct quar_suspect *s, void *n)
--- a/src/fleet/mesh_roles.c
+++ b/src/fleet/mesh_roles.c
@@ -26,9 +26,9 @@
 
 static enum roles_state state_of(struct member *m, int64_t now)
 {
-	if (m->alive) return m->said.draining ? ROLES_AWAY : ROLES_ALIVE;
+	if (m->alive) return m->said.draining ? ROLES_GONE : ROLES_ALIVE;
 	if (!m->tried_us || now - m->tried_us > TRY_AGAIN_US) m->tried_us = now;
-	return now - m->tried_us < TRY_US ? ROLES_TRIED : ROLES_AWAY;
+	return now - m->tried_us < TRY_US ? ROLES_UNSEEN : ROLES_GONE;
 }
 
 void mesh_passed_over(struct member *m)
@@ -41,7 +41,7 @@
 {
 	struct roles_peer p = {.link_mbps = mesh_cfg()->link_mbps,
 			       .hash = g_str_hash(mesh_cfg()->ip),
-			       .state = mesh_self_draining() ? ROLES_AWAY : ROLES_ALIVE,
+			       .state = mesh_self_draining() ? ROLES_GONE : ROLES_ALIVE,
 			       .store_down = !mesh_self_store_up(),
 			       .self = 1};
 
@@ -91,8 +91,8 @@
 			set_member(p[i].user, &p[i]);
 	}
 	self_watches = roles_watches(p, n);
-	self_asks = roles_asks(p, n);
-	store_answers = roles_store_answers(p, n);
+	self_asks = roles_retries_store(p, n);
+	store_answers = roles_store_up(p, n);
 	met_set(MET_G_ACTIVE, self_active);
 }
 
@@ -107,7 +107,7 @@
 	add_self();
 	for (i = 0; i < mesh_members()->len; i++)
 		add_member(g_ptr_array_index(mesh_members(), i), now);
-	roles_choose((struct roles_peer *)(void *)peers->data, (int)peers->len);
+	roles_assign((struct roles_peer *)(void *)peers->data, (int)peers->len);
 	take_results();
 }
 
@@ -148,7 +148,7 @@
 
 int64_t mesh_rest_us(void)
 {
-	return roles_rest_us((int)mesh_members()->len + 1, g_random_int());
+	return roles_backoff_us((int)mesh_members()->len + 1, g_random_int());
 }
 
 int mesh_linked_to(const struct member *m)
--- a/src/fleet/mesh_tree.c
+++ b/src/fleet/mesh_tree.c
@@ -31,7 +31,7 @@
 	struct spread_hub hubs[HUBS_MAX], me = self();
 
 	if (!mesh_self_hub()) return 0;
-	return spread_tells(&me, hubs, collect_hubs(m, hubs), g_str_hash(m->ip));
+	return spread_is_primary(&me, hubs, collect_hubs(m, hubs), g_str_hash(m->ip));
 }
 
 /* Whether this hub is the one that passes news on to m, which stands by. */
@@ -40,7 +40,7 @@
 	struct spread_hub hubs[HUBS_MAX], me = self();
 	int n = collect_hubs(m, hubs);
 
-	return spread_passes_on(&me, hubs, n, g_str_hash(m->ip), m->said.dc);
+	return spread_forwards(&me, hubs, n, g_str_hash(m->ip), m->said.dc);
 }
 
 /* Those that pass them on, or need them at once, and those that have them from here alone. */
--- a/src/fleet/poison.c
+++ b/src/fleet/poison.c
@@ -32,7 +32,7 @@
 
 static void count_blocked(const struct quar_suspect *s, void *n)
 {
-	*(int *)n += quar_is_blocked(s);
+	*(int *)n += quar_is_quarantined(s);
 }
 
 static void verdict_changed(const struct quar_suspect *s, const char *said_by)
@@ -43,7 +43,7 @@
 	quar_each(table, count_blocked, &n);
 	met_set(MET_G_BLOCKED, n);
 	poison_log_verdict(table, s, said_by);
-	if (!quar_is_blocked(s)) return;
+	if (!quar_is_quarantined(s)) return;
 	met_add(MET_BLOCKED, 1);
 	hooks->blocked(&fp);
 }
@@ -98,7 +98,7 @@
 /* A run came through at that time, as seen here: told on if it changes anything. */
 static void take_through(const struct fp *fp, int64_t at_us)
 {
-	int changed = quar_sound(table, fp, at_us);
+	int changed = quar_add_success(table, fp, at_us);
 
 	if (!changed) return;
 	mesh_tell_through(fp, clock_us() - at_us);
@@ -124,7 +124,7 @@
 
 void poison_hear_through(const struct fp *fp, int64_t ago_us)
 {
-	if (quar_sound(table, fp, clock_us() - ago_us) < 2) return;
+	if (quar_add_success(table, fp, clock_us() - ago_us) < 2) return;
 	verdict_changed(quar_find(table, fp), "a run that came through elsewhere");
 }
 
@@ -133,11 +133,12 @@
 static void take_end(const char *server, int64_t life, const char *seen_by, int64_t at_us,
 		     const struct poison_run *run, int n)
 {
-	uint32_t before = table->nends, end = quar_ended(table, server, life, seen_by, at_us);
-	int i, news = table->nends != before, more = 0;
+	uint32_t before = table->ncrashes,
+		 end = quar_add_crash(table, server, life, seen_by, at_us);
+	int i, news = table->ncrashes != before, more = 0;
 
 	if (news) poison_log_end(server, seen_by, n);
-	for (i = 0; i < n; i++) more += quar_ran(table, &run[i].fp, end, run[i].ran_us);
+	for (i = 0; i < n; i++) more += quar_add_run(table, &run[i].fp, end, run[i].ran_us);
 	if (more && !news) poison_log_end_told(server, seen_by, more, at_us);
 	news |= more;
 	for (i = 0; i < n; i++) take_remembered(&run[i].fp);
@@ -173,7 +174,7 @@
 {
 	int64_t last_us = s->nruns ? s->run[s->nruns - 1].at_us : 0;
 
-	if (quar_is_blocked(s)) return now >= quar_until_us(s);
+	if (quar_is_quarantined(s)) return now >= quar_until_us(s);
 	return now - last_us < WATCH_US && quar_count(table, s);
 }
 
@@ -214,10 +215,10 @@
 	return !quar_empty(table);
 }
 
-enum quar_answer poison_ask(const struct fp *fp, uint32_t here)
+enum quar_action poison_ask(const struct fp *fp, uint32_t here)
 {
 	int64_t now = clock_us();
-	enum quar_answer a = quar_ask(table, fp, here + way_count(fp, now), now);
+	enum quar_action a = quar_check(table, fp, here + way_count(fp, now), now);
 
 	if (a == QUAR_TRIAL && !look_timer.armed) ev_in(&look_timer, 0);
 	return a;
@@ -230,7 +231,7 @@
 {
 	const struct quar_suspect *s;
 
-	if (!quar_hear(table, fp, round, cleared, clock_us() - ago_us)) return;
+	if (!quar_merge(table, fp, round, cleared, clock_us() - ago_us)) return;
 	s = quar_find(table, fp);
 	if (mesh_self_hub()) mesh_tell_verdict(s);
 	verdict_changed(s, from);
@@ -277,9 +278,9 @@
 static void write_through(const struct quar_suspect *s, void *arg)
 {
 	const struct write *w = arg;
-	int64_t ago_us = w->now - s->sound_us;
+	int64_t ago_us = w->now - s->success_us;
 
-	if (s->sound_us && ago_us <= RECENT_US) mesh_write_through(w->out, &s->fp, ago_us);
+	if (s->success_us && ago_us <= RECENT_US) mesh_write_through(w->out, &s->fp, ago_us);
 }
 
 void poison_write_told(GString *out)
--- a/src/fleet/poison_through.c
+++ b/src/fleet/poison_through.c
@@ -2,7 +2,7 @@
 #include "poison_impl.h"
 
 /* Twice as long as it counts. */
-#define THROUGH_US (2 * QUAR_SOUND_US)
+#define THROUGH_US (2 * QUAR_SUCCESS_US)
 #define THROUGH_MOST 4096 /* requests: a thousand a second */
 
 static GHashTable *through; /* struct fp -> int64_t, when a run came through last */
--- a/src/fleet/poison_write.c
+++ b/src/fleet/poison_write.c
@@ -9,7 +9,7 @@
 	int i;
 
 	for (i = 0; i < s->nruns; i++) {
-		const struct quar_end *e = quar_end_of(q, s->run[i].end);
+		const struct quar_crash *e = quar_crash_of(q, s->run[i].crash);
 
 		if (!e) continue;
 		g_string_append_printf(servers, "%s%s", servers->len ? " " : "", e->server);
@@ -23,8 +23,8 @@
 
 void poison_log_verdict(const struct quar *q, const struct quar_suspect *s, const char *said_by)
 {
-	GString *g = jlog_begin("fleet",
-				quar_is_blocked(s) ? "request_blocked" : "request_unblocked");
+	GString *g = jlog_begin("fleet", quar_is_quarantined(s) ? "request_blocked"
+								: "request_unblocked");
 	char print[FP_HEX];
 
 	fp_write(&s->fp, print);
@@ -69,16 +69,16 @@
 	char print[FP_HEX];
 	int i;
 
-	if (!quar_is_blocked(s)) return;
+	if (!quar_is_quarantined(s)) return;
 	fp_write(&s->fp, print);
 	g_string_append_printf(out,
 			       "%s{\"fingerprint\":\"%s\",\"round\":%u,\"blocked_s\":%.1f,"
 			       "\"trial_in_s\":%.1f,\"backends\":[",
 			       out->str[out->len - 1] == '[' ? "" : ",\n", print, s->round,
-			       (double)(now - s->blocked_us) / 1e6,
+			       (double)(now - s->quarantined_us) / 1e6,
 			       (double)MAX(quar_until_us(s) - now, 0) / 1e6);
 	for (i = 0; i < s->nruns; i++) {
-		const struct quar_end *e = quar_end_of(l->q, s->run[i].end);
+		const struct quar_crash *e = quar_crash_of(l->q, s->run[i].crash);
 
 		if (e) g_string_append_printf(out, "%s\"%s\"", i ? "," : "", e->server);
 	}
--- a/src/fleet/ro.c
+++ b/src/fleet/ro.c
@@ -96,7 +96,7 @@
 
 	ro_choose_canaries(o);
 	if (o->stage == ROLLOUT_ROLLED_BACK) be_bar_version(o->service, o->target, 1);
-	if (rollout_moves_off(&s)) ro_bar_old(o);
+	if (rollout_must_move(&s)) ro_bar_old(o);
 }
 
 int ro_rise(struct ro *o, enum rollout_stage s, const char *said_by)
--- a/src/fleet/ro_choose.c
+++ b/src/fleet/ro_choose.c
@@ -133,8 +133,8 @@
 		b->broke_us = now;
 		if (now - broke_us < BROKE_US) return;
 	}
-	rollout_note(&o->own, route, b->ro_part == RO_OLD ? ROLLOUT_OLD : ROLLOUT_NEW,
-		     how != RO_WELL, took_us);
+	rollout_record(&o->own, route, b->ro_part == RO_OLD ? ROLLOUT_OLD : ROLLOUT_NEW,
+		       how != RO_WELL, took_us);
 	o->own_changed = 1;
 }
 
--- a/src/fleet/watch_confirm.c
+++ b/src/fleet/watch_confirm.c
@@ -103,14 +103,14 @@
 
 static int may_ask(int64_t now)
 {
-	struct roles_old o = {.hub = mesh_self_hub(),
-			      .asks = mesh_asks_store(),
-			      .store_up = watch_store_up()};
+	struct roles_stale o = {.hub = mesh_self_hub(),
+				.retries_store = mesh_asks_store(),
+				.store_up = watch_store_up()};
 
 	if (now < not_before_us) return 0;
 	if (!rest_until_us) rest_until_us = now + mesh_rest_us();
-	o.rest_until_us = rest_until_us;
-	return roles_may_ask(&o, now);
+	o.backoff_until_us = rest_until_us;
+	return roles_may_call(&o, now);
 }
 
 /* An answer that is coming is not late: a whole configuration takes a second on a small link.
--- a/src/internal/be.h
+++ b/src/internal/be.h
@@ -78,13 +78,13 @@
 	uint32_t bad_by;  /* whose the last of them was */
 	double answer_us; /* moving average of plain answers; 0: none yet */
 	uint32_t answers; /* that it is made of */
-	struct limit_word limit; /* what it said last of the requests that it takes */
-	int64_t limited_us;      /* since when this instance knows of a limit, or of its end; 0:
-				    never */
-	int64_t unread_us;       /* when a word that can't be used was logged last */
-	int limit_heard;         /* its own answers said so since others were told */
-	int probed;              /* its health check or report was asked for and has not come */
-	int dirty;               /* own load changed since peers were told */
+	struct limit_report limit; /* what it said last of the requests that it takes */
+	int64_t limited_us; /* since when this instance knows of a limit, or of its end; 0:
+			       never */
+	int64_t unread_us;  /* when a word that can't be used was logged last */
+	int limit_heard;    /* its own answers said so since others were told */
+	int probed;         /* its health check or report was asked for and has not come */
+	int dirty;          /* own load changed since peers were told */
 };
 
 struct be_info { /* an entry as the platform lists it */
--- a/src/internal/poison.h
+++ b/src/internal/poison.h
@@ -35,7 +35,7 @@
 /* Whether any request at all has to be asked for. */
 int poison_any(void);
 /* here: other runs of it at this instance that have not answered yet. */
-enum quar_answer poison_ask(const struct fp *fp, uint32_t here);
+enum quar_action poison_ask(const struct fp *fp, uint32_t here);
 
 /* ---- operators ---- */
 /* Blamed requests as a JSON list. */
--- a/src/internal/quar.h
+++ b/src/internal/quar.h
@@ -1,117 +1,129 @@
 /*
- * Requests that end the backend servers that run them: which one did, told from those that ran
- * beside it, and what becomes of its tries. A pure table: ends of servers, signs of sound runs
- * and other instances' verdicts go in with their times, answers come out. Nobody is asked, and
- * two instances with the same evidence come to the same verdict.
+ * Quarantine of requests that crash the backend servers that run them. Finds the request that
+ * caused a series of crashes among those that ran on the same servers, and decides whether it
+ * may be sent again. A pure table: crashes, completed runs and verdicts of other instances go
+ * in with their times, decisions come out. There is no coordination; two instances with the
+ * same evidence come to the same verdict.
  *
- * What is blamed ended at least three servers, none of its runs came through, and chance does
- * not explain it. What does not count against a request:
- * - ends before a run of it came through, or shortly after: whatever everybody sends is on each
- *   server that ends, and comes through elsewhere all the time;
- * - ends at one moment with others where it did not run: their cause is another one;
- * - ends under a request that is blamed already: what ran beside it had no part in it.
- * The rest is weighed by how long it had run: one that ends servers does so as it begins, while
- * a server that ends for another cause ends long runs more often than short ones.
+ * A request is quarantined if at least three servers crashed under it, none of its runs
+ * completed, and chance does not explain that. These crashes don't count against a request:
+ * - crashes before one of its runs completed, or shortly after: a frequent request runs on
+ * each server that crashes, but also completes elsewhere all the time;
+ * - crashes simultaneous with others where it did not run: they have another cause;
+ * - crashes under a request that is quarantined already: those that ran beside it did not
+ * cause them.
+ * The others are weighted by how long the request had run there: a request that crashes
+ * servers does so soon after its start, while a server that crashes for another reason
+ * interrupts long runs more often than short ones.
  */
 #ifndef SH_QUAR_H
 #define SH_QUAR_H
 #include "fp.h"
 
-#define QUAR_ENDS 512 /* the last: as many as a large fleet loses in a bad minute */
-/* Requests under which servers ended. Beyond, those with the fewest ends go, the oldest first,
- * and blamed ones last: a sixth of 120 engines at once ends some 500 requests. */
+/* Crashes kept, the latest: as many as a large fleet has in a bad minute. */
+#define QUAR_CRASH_LOG 512
+/* Maximum number of suspects. When it is reached those with the fewest crashes are evicted, the
+ * oldest first, and quarantined ones last. If a sixth of 120 engines crashes at once there are
+ * some 500 suspects. */
 #define QUAR_SUSPECTS 1024
-#define QUAR_RUNS 8   /* ends of one request: the last; five decide at most */
-#define QUAR_NAME 128 /* bytes of a name, its end included: as long as any of the fleet */
-#define QUAR_MOST 3   /* servers that one request may end before it is blamed */
-/* A sign of a sound run covers ends so much later: signs of what everybody sends come more
- * often than that, and take a moment to get to all. Microseconds. */
-#define QUAR_SOUND_US 2000000
+/* Crashes kept per request, the latest; five are enough for any decision \. */
+#define QUAR_RUNS 8
+#define QUAR_NAME 128    /* size that holds any name of the fleet, terminator included */
+#define QUAR_THRESHOLD 3 /* crashes after which a request may be quarantined */
+/* A completed run also excuses crashes up to this much later: a frequent request completes more
+ * often than that, and reports take a moment to reach all instances. Microseconds. */
+#define QUAR_SUCCESS_US 2000000
 
-/* A server that ended untold, in one of its lives. */
-struct quar_end {
+/* A crash of one incarnation of a server. */
+struct quar_crash {
 	char server[QUAR_NAME], seen_by[QUAR_NAME];
-	int64_t life;  /* which of its lives; 0: it has one */
-	int64_t at_us; /* as first heard */
-	int explained; /* a blamed request ran there */
+	int64_t incarnation; /* incarnation of the server; 0: not tracked */
+	int64_t at_us;       /* when it was first reported */
+	int explained;       /* a quarantined request ran there */
 };
 
 struct quar_run {
-	uint32_t end;   /* serial number of the end */
-	int64_t at_us;  /* of that end */
-	int64_t ran_us; /* since it was sent there */
+	uint32_t crash; /* serial number of the crash */
+	int64_t at_us;  /* time of that crash */
+	int64_t ran_us; /* time since it was sent there */
 };
 
 struct quar_suspect {
 	struct fp fp;
-	struct quar_run run[QUAR_RUNS]; /* the oldest first */
+	struct quar_run run[QUAR_RUNS]; /* oldest first */
 	int nruns;
-	int64_t sound_us;        /* a run of it came through, or had run on for long; 0: none */
-	uint32_t round, cleared; /* blamed while round is the larger; both only grow */
-	int64_t blocked_us;      /* when it was blamed last */
+	int64_t success_us;      /* when a run of it last completed, or was seen to have run for
+				    long; 0: never */
+	uint32_t round, cleared; /* quarantined while round > cleared; both only increase */
+	int64_t quarantined_us;  /* start of the last quarantine */
 };
 
 struct quar;
 struct quar *quar_new(void);
 void quar_free(struct quar *q);
-/* Whether nothing is suspected of anything: the usual case. */
+/* Whether there are no suspects, which is the usual case. */
 int quar_empty(const struct quar *q);
 
-/* ---- evidence; times are this instance's clock, microseconds ---- */
-/* A server ended; its serial number, the same when it is told again. */
-uint32_t quar_ended(struct quar *q, const char *server, int64_t life, const char *seen_by,
-		    int64_t at_us);
-/* The request ran there, for so long. 1 if that is new. */
-int quar_ran(struct quar *q, const struct fp *fp, uint32_t end, int64_t ran_us);
-/* A run of it came through. 1 if that changes anything; 2 if it is blamed no longer. */
-int quar_sound(struct quar *q, const struct fp *fp, int64_t at_us);
+/* ---- evidence; times are microseconds of this instance's clock ---- */
+/* Records a crash and returns its serial number; the same one if it was reported before. */
+uint32_t quar_add_crash(struct quar *q, const char *server, int64_t incarnation,
+			const char *seen_by, int64_t at_us);
+/* Records that the request had run there for ran_us when the server crashed. Returns 1 if that
+ * is new. */
+int quar_add_run(struct quar *q, const struct fp *fp, uint32_t crash, int64_t ran_us);
+/* Records a completed run of the request. Returns 1 if that changes what counts against it, 2
+ * if it ends its quarantine, otherwise 0. */
+int quar_add_success(struct quar *q, const struct fp *fp, int64_t at_us);
 
 /* ---- verdicts ---- */
-/* Finds who is to be blamed, of so many servers, by ends up to settled_us: of later ones more
- * may be told. told is called for each. */
+/* Quarantines the requests that caused crashes, given the number of servers. Crashes after
+ * settled_us are not used yet, as more reports about them may arrive. Calls report for each new
+ * quarantine. */
 void quar_judge(struct quar *q, uint32_t servers, int64_t settled_us, int64_t now_us,
-		void (*told)(const struct quar_suspect *s, void *arg), void *arg);
-/* Another instance's verdict. 1 if it is news here. */
-int quar_hear(struct quar *q, const struct fp *fp, uint32_t round, uint32_t cleared,
-	      int64_t blocked_us);
-/* An operator's word. 0, or -ENOENT when it is not blamed. */
+		void (*report)(const struct quar_suspect *s, void *arg), void *arg);
+/* Merges a verdict of another instance. Returns 1 if it changed the local one. */
+int quar_merge(struct quar *q, const struct fp *fp, uint32_t round, uint32_t cleared,
+	       int64_t quarantined_us);
+/* Ends a quarantine by order of an operator. Returns 0, or -ENOENT if the request is not
+ * quarantined. */
 int quar_clear(struct quar *q, const struct fp *fp, int64_t now_us);
 
-/* ---- what becomes of a try ---- */
-enum quar_answer {
-	QUAR_FREE,
-	QUAR_WAIT,    /* others of it are under way, which may end servers: not now */
-	QUAR_BLOCKED, /* not again */
-	QUAR_TRIAL    /* blamed long ago: this one try finds out whether rightly */
+/* ---- admission ---- */
+enum quar_action {
+	QUAR_ALLOW,
+	QUAR_WAIT,   /* runs of it are in flight that may crash servers: not now */
+	QUAR_REFUSE, /* quarantined: not again */
+	QUAR_TRIAL   /* its quarantine has run out: this one run tests the verdict */
 };
-/* under_way: other runs of it that have not answered yet, over all instances. */
-enum quar_answer quar_ask(const struct quar *q, const struct fp *fp, uint32_t under_way,
-			  int64_t now_us);
+/* in_flight: other runs of it without a response yet, over all instances. */
+enum quar_action quar_check(const struct quar *q, const struct fp *fp, uint32_t in_flight,
+			    int64_t now_us);
 
-/* ---- looks ---- */
-/* NULL: nothing is known of it. Valid until the next change. */
+/* ---- queries ---- */
+/* Returns NULL if it is no suspect. Valid until the next change. */
 const struct quar_suspect *quar_find(const struct quar *q, const struct fp *fp);
-/* Ends that count against it now. */
+/* Number of crashes that count against it now. */
 int quar_count(const struct quar *q, const struct quar_suspect *s);
-int quar_is_blocked(const struct quar_suspect *s);
-/* When a blamed one may be tried again. */
+int quar_is_quarantined(const struct quar_suspect *s);
+/* When a quarantined request may be tried again. */
 int64_t quar_until_us(const struct quar_suspect *s);
-const struct quar_end *quar_end_of(const struct quar *q, uint32_t end);
+const struct quar_crash *quar_crash_of(const struct quar *q, uint32_t crash);
 void quar_each(const struct quar *q, void (*f)(const struct quar_suspect *s, void *arg),
 	       void *arg);
-/* The same for two tables with the same verdicts, 0 without any. */
+/* Equal for tables with the same verdicts, 0 without any. */
 uint64_t quar_digest(const struct quar *q);
 
-/* ---- between its own files ---- */
+/* ---- internal ---- */
 struct quar {
-	struct quar_end end[QUAR_ENDS];
-	uint32_t nends; /* serial number of the next */
+	struct quar_crash crash[QUAR_CRASH_LOG];
+	uint32_t ncrashes; /* serial number of the next crash */
 	struct quar_suspect *suspect;
 	uint32_t n;
-	int64_t settled_us; /* while it is judged */
+	int64_t settled_us; /* set during quar_judge */
 };
-/* Among all, blamed ones included; added if it is new. */
+/* Finds the request among all suspects, or adds it. */
 struct quar_suspect *quar_suspect_of(struct quar *q, const struct fp *fp);
-/* Whether the servers that ended under it count against what ran beside it. */
+/* Sets whether the crashes under it are attributed to it, so that they don't count against
+ * others. */
 void quar_explain(struct quar *q, const struct quar_suspect *s, int explained);
 #endif
--- a/src/internal/rq_impl.h
+++ b/src/internal/rq_impl.h
@@ -203,7 +203,7 @@
 /* Microseconds until b may get new work of r's service; INT64_MAX: not as far as is known. */
 int64_t rq_usable_in(struct be *b, const struct rq *r, int64_t now);
 /* b as a candidate; dc: the data centre from which it is near or far. */
-void rq_fill_site(struct place_site *s, struct be *b, const struct rq *r, const char *dc,
+void rq_fill_site(struct place_server *s, struct be *b, const struct rq *r, const char *dc,
 		  int64_t now);
 /* What all instances together have on b. */
 struct be_load rq_load_of(const struct be *b);
--- a/src/internal/tbl.h
+++ b/src/internal/tbl.h
@@ -1,4 +1,4 @@
-/* The operators' table: a row per group and a row per service, checked and immutable. */
+/* The operators' table: one row per group and per service, validated and immutable. */
 #ifndef SH_TBL_H
 #define SH_TBL_H
 #include "err.h"
@@ -7,8 +7,8 @@
 #include <stdint.h>
 
 #define TBL_NAME_MAX 63
-#define TBL_SERVICES_MAX 64 /* services one group may reach */
-#define TBL_KEY_HEX 64      /* a SHA-256 in hex */
+#define TBL_SERVICES_MAX 64 /* services that one group may use */
+#define TBL_KEY_HEX 64      /* length of a SHA-256 in hex */
 
 enum tbl_class { TBL_INTERACTIVE, TBL_BATCH };
 enum tbl_kind { TBL_MODEL, TBL_CALL };
@@ -17,7 +17,7 @@
 struct tbl_limits {
 	uint32_t running;      /* requests at once */
 	uint32_t waiting;      /* requests at once */
-	uint32_t tokens_per_s; /* generated tokens a second */
+	uint32_t tokens_per_s; /* generated tokens per second */
 };
 
 struct tbl_group {
@@ -42,7 +42,7 @@
 struct tbl {
 	atomic_int refs;
 	uint64_t version;
-	char *text; /* the JSON it was read from */
+	char *text; /* the JSON text that it was parsed from */
 	struct tbl_group *group;
 	uint32_t ngroups;
 	struct tbl_service *service;
@@ -52,14 +52,15 @@
 	GHashTable *service_by_id;
 };
 
-/* Reads and checks; on failure e names the row and the field, and NULL is returned. */
+/* Parses and validates the table. On failure stores an error that names the row and field, and
+ * returns NULL. */
 struct tbl *tbl_parse(const char *text, uint64_t version, struct err *e);
 struct tbl *tbl_ref(struct tbl *t);
 void tbl_unref(struct tbl *t);
 
 const struct tbl_group *tbl_group(const struct tbl *t, uint64_t id);
 const struct tbl_service *tbl_service(const struct tbl *t, uint64_t id);
-/* The group whose key this is; the hashes are compared in constant time. */
+/* Returns the group with this key, or NULL. The hashes are compared in constant time. */
 const struct tbl_group *tbl_group_by_key(const struct tbl *t, const char *key);
 int tbl_may_reach(const struct tbl_group *g, uint64_t service);
 #endif
--- a/src/internal/wire.h
+++ b/src/internal/wire.h
@@ -93,7 +93,7 @@
 		} check;
 		struct {
 			uint32_t seq;
-			struct share_ask ask;
+			struct share_request ask;
 		} share;
 		struct {
 			uint64_t doc, version;
--- a/src/link/peer_msg.c
+++ b/src/link/peer_msg.c
@@ -86,7 +86,7 @@
 static void on_ping(struct plink *l, const struct wire_msg *m)
 {
 	const struct wire_ping *p = &m->u.ping;
-	int changed = mbr_heard(peer.mbr, l->member, clock_us());
+	int changed = mbr_seen(peer.mbr, l->member, clock_us());
 	uint32_t i;
 
 	for (i = 0; i < p->nnews; i++) changed |= mbr_apply(peer.mbr, &p->news[i], clock_us());
--- a/src/node/keeper.c
+++ b/src/node/keeper.c
@@ -151,7 +151,7 @@
 
 static void take_lost(uint64_t engine)
 {
-	struct core_event ev = {.type = CORE_EV_DOUBT, .u.doubt = engine};
+	struct core_event ev = {.type = CORE_EV_LINK_LOST, .u.link_lost = engine};
 
 	step(&ev);
 }
@@ -348,7 +348,8 @@
 {
 	struct core_ref ref[WIRE_CHECKS_MAX];
 	struct wire_msg m = {.type = WIRE_CHECK};
-	uint32_t i, j, n = core_unheard(k.core, clock_us() - UNHEARD_US, ref, WIRE_CHECKS_MAX);
+	uint32_t i, j,
+		n = core_stale_tickets(k.core, clock_us() - UNHEARD_US, ref, WIRE_CHECKS_MAX);
 
 	for (i = 0; i < n; i++) {
 		if (!ref[i].entry) continue;
--- a/src/node/shares.c
+++ b/src/node/shares.c
@@ -83,7 +83,7 @@
 static uint32_t usable(const struct held *h, int64_t now_us)
 {
 	if (now_us < h->until_us) return h->share < h->ceiling ? h->share : h->ceiling;
-	return cut_off(h, now_us) ? share_part(h->ceiling, sh.keepers) : 0;
+	return cut_off(h, now_us) ? share_default(h->ceiling, sh.keepers) : 0;
 }
 
 uint32_t shares_limit(uint64_t group, int64_t now_us)
@@ -122,9 +122,9 @@
 	h->asked_us = now_us;
 	if (!h->asked_first_us) h->asked_first_us = now_us;
 	m.u.share.seq = ++h->seq;
-	m.u.share.ask = (struct share_ask){.group = h->group,
-					   .held = usable(h, now_us),
-					   .running = core_group_running(c, h->group)};
+	m.u.share.ask = (struct share_request){.group = h->group,
+					       .held = usable(h, now_us),
+					       .running = core_group_running(c, h->group)};
 	m.u.share.ask.demand = m.u.share.ask.running + core_group_waiting(c, h->group);
 	if (home == node.self.id)
 		shares_take(c, &m, home, now_us);
@@ -182,10 +182,10 @@
 
 	if (!h || !h->ceiling) return;
 	s = home_here(h->group);
-	s->born_us = sh.members_us;
+	s->created_us = sh.members_us;
 	m.u.share.seq = in->u.share.seq;
 	m.u.share.ask.group = h->group;
-	m.u.share.ask.held = share_answer(s, from, &in->u.share.ask, h->ceiling, now_us);
+	m.u.share.ask.held = share_grant(s, from, &in->u.share.ask, h->ceiling, now_us);
 	if (from == node.self.id)
 		shares_take(c, &m, from, now_us);
 	else
--- a/src/relay/rq_budget.c
+++ b/src/relay/rq_budget.c
@@ -44,7 +44,7 @@
 {
 	struct budget_rule now = rule();
 
-	if (ev_now() - r->counted_us > budget_late_us(&now)) count_repeat(r);
+	if (ev_now() - r->counted_us > budget_delay_us(&now)) count_repeat(r);
 	r->counted_us = ev_now();
 }
 
@@ -92,7 +92,7 @@
 {
 	if (r->sends - r->unreached >= RQ_SENDS_MAX) return 0;
 	if (!r->reached) return r->sends < RQ_CONNECTS_MAX;
-	if (!take(r, BUDGET_REPEAT)) return 0;
+	if (!take(r, BUDGET_RETRY)) return 0;
 	r->counted_us = ev_now();
 	return 1;
 }
--- a/src/relay/rq_pick.c
+++ b/src/relay/rq_pick.c
@@ -48,30 +48,30 @@
 	return MAX(in_us, wait_us);
 }
 
-void rq_fill_site(struct place_site *s, struct be *b, const struct rq *r, const char *dc,
+void rq_fill_site(struct place_server *s, struct be *b, const struct rq *r, const char *dc,
 		  int64_t now)
 {
 	struct be_load all = rq_load_of(b);
 
-	*s = (struct place_site){
+	*s = (struct place_server){
 		.usable = rq_usable_in(b, r, now) == 0,
-		.near = !strcmp(b->zone, dc),
-		.away = is_away(b, dc),
+		.same_dc = !strcmp(b->zone, dc),
+		.other_region = is_away(b, dc),
 		.slots = b->slots,
 		.runs = all.runs,
 		.unread = all.unread,
 		.held = all.held,
-		.backup = all.backup,
+		.replica = all.backup,
 		.used = all.used,
 		.tokens = r->service->tokens,
 		.inbound = all.inbound,
 		.answer_us = b->answer_us,
-		.doubt = be_answer_doubt(b),
+		.uncertainty = be_answer_doubt(b),
 	};
 }
 
 /* Of the sites those that have no room: the others are looked for beyond them. */
-#define FULL_SITES_MAX (PLACE_SITES_MAX * 3 / 4)
+#define FULL_SITES_MAX (PLACE_SERVERS_MAX * 3 / 4)
 
 /* Candidates of one choice. */
 struct choice {
@@ -81,8 +81,8 @@
 	const struct be *not_this; /* or NULL */
 	int64_t now;
 	int last_resort; /* those that are better than nothing */
-	struct place_site s[PLACE_SITES_MAX];
-	struct be *at[PLACE_SITES_MAX];
+	struct place_server s[PLACE_SERVERS_MAX];
+	struct be *at[PLACE_SERVERS_MAX];
 	int n, full;
 	int passed_over[PACE_WHYS];
 };
@@ -92,7 +92,7 @@
 	return g_str_hash(rq_cfg->ip) * 2654435761u;
 }
 
-static int may_go_to(struct choice *c, struct be *b, struct place_site *s)
+static int may_go_to(struct choice *c, struct be *b, struct place_server *s)
 {
 	if (b == c->not_this) return 0;
 	if (c->last_resort)
@@ -105,7 +105,7 @@
 static int consider(struct be *b, void *arg)
 {
 	struct choice *c = arg;
-	struct place_site *s = &c->s[c->n];
+	struct place_server *s = &c->s[c->n];
 
 	rq_fill_site(s, b, c->r, c->dc, c->now);
 	if (!may_go_to(c, b, s)) return 1;
@@ -115,7 +115,7 @@
 	}
 	s->usable = 1;
 	c->at[c->n++] = b;
-	return c->n < PLACE_SITES_MAX;
+	return c->n < PLACE_SERVERS_MAX;
 }
 
 /* Valid until the next call. */
@@ -226,5 +226,5 @@
 	c = collect(r, &now, l->be->zone, l->be);
 	for (i = 0; i < c->n; i++)
 		if (c->at[i]->refused) c->s[i].usable = 0;
-	return chosen(c, place_backup(c->s, c->n, -1, &now, BACKUP_PERCENT, g_random_int()));
+	return chosen(c, place_replica(c->s, c->n, -1, &now, BACKUP_PERCENT, g_random_int()));
 }
--- a/src/relay/rq_poison.c
+++ b/src/relay/rq_poison.c
@@ -207,9 +207,9 @@
 	if (!poison_any()) return 0;
 	fp = rq_fp(r);
 	switch (poison_ask(fp, count_unanswered(fp, r))) {
-	case QUAR_FREE: return 0;
+	case QUAR_ALLOW: return 0;
 	case QUAR_TRIAL: r->on_trial = 1; return 0;
-	case QUAR_BLOCKED: rq_block(r); return 1;
+	case QUAR_REFUSE: rq_block(r); return 1;
 	case QUAR_WAIT: break;
 	}
 	rq_refuse(r, REF_SUSPECT, RETRY_SUSPECT_US,
--- a/src/relay/rq_silent.c
+++ b/src/relay/rq_silent.c
@@ -28,7 +28,7 @@
 
 static int64_t ask_again_us(const struct rq *r)
 {
-	if (!r->event_us) return MAX(r->route->aim_us, ASK_AGAIN_US);
+	if (!r->event_us) return MAX(r->route->objective_us, ASK_AGAIN_US);
 	return r->stalls ? rq_stall_us(r) : ASK_AGAIN_US;
 }
 
--- a/src/relay/rq_time.c
+++ b/src/relay/rq_time.c
@@ -21,7 +21,7 @@
 	const struct leg *l = r->leg;
 
 	if (!l || !l->hx || l->answered || !rq_lengths(r)->answers) return 0;
-	return clock_us() - l->sent_us >= r->route->aim_us;
+	return clock_us() - l->sent_us >= r->route->objective_us;
 }
 
 static void on_end_time(struct ev_timer *t)
@@ -46,7 +46,7 @@
 int64_t rq_reading_us(const struct rq *r)
 {
 	if (!r->service->engine || !r->leg) return 0;
-	return place_reading_us(rq_load_of(r->leg->be).unread);
+	return place_prefill_us(rq_load_of(r->leg->be).unread);
 }
 
 /* Silence of an engine that is at work says nothing of how sound it is: those that were
@@ -64,8 +64,8 @@
 /* How long a server that may be left for another one is waited for. */
 int64_t rq_patience_us(const struct rq *r)
 {
-	if (r->route->kind == CONF_STREAM) return r->route->aim_us + rq_reading_us(r);
-	return MAX(r->route->aim_us * PATIENCE_PART / 10, PATIENCE_MIN_US);
+	if (r->route->kind == CONF_STREAM) return r->route->objective_us + rq_reading_us(r);
+	return MAX(r->route->objective_us * PATIENCE_PART / 10, PATIENCE_MIN_US);
 }
 
 int64_t rq_stall_us(const struct rq *r)
--- a/src/relay/rq_turn.c
+++ b/src/relay/rq_turn.c
@@ -18,7 +18,7 @@
 	const struct rq *r;
 	int64_t now, least;
 	uint32_t parts;
-	struct quota_site s[PLACE_SITES_MAX];
+	struct quota_server s[PLACE_SERVERS_MAX];
 	struct be *first; /* the one that has the next turn */
 	double answer_us; /* the least of their usual times; 0: none is known */
 	int n;
@@ -37,7 +37,7 @@
 	t->least = MIN(t->least, t->s[t->n].first_us);
 	if (b->answer_us > 0 && (!t->answer_us || b->answer_us < t->answer_us))
 		t->answer_us = b->answer_us;
-	return ++t->n < PLACE_SITES_MAX;
+	return ++t->n < PLACE_SERVERS_MAX;
 }
 
 static struct turns *collect(const struct rq *r)
@@ -76,7 +76,7 @@
 
 	if (t->first) *first = t->first;
 	rq_line_ahead(r, RQ_WAITS_TURN, count, &ahead);
-	return quota_turn_us(t->s, t->n, ahead);
+	return quota_slot_us(t->s, t->n, ahead);
 }
 
 static int in_time(const struct rq *r, int64_t wait_us)
--- a/src/relay/rq_wait.c
+++ b/src/relay/rq_wait.c
@@ -36,7 +36,7 @@
 /* Whether its first token still comes within its aim after such a wait. */
 static int in_time(const struct rq *r, int64_t wait_us)
 {
-	int64_t left_us = r->began_us + r->route->aim_us - clock_us();
+	int64_t left_us = r->began_us + r->route->objective_us - clock_us();
 	double start_us = rq_lengths(r)->start_us * START_TIMES;
 
 	if (wait_us == FORECAST_NEVER) return 0;
@@ -104,7 +104,7 @@
 		rq_place(r);
 		return 1;
 	}
-	wait_us = length_wait_us(rq_lengths(r), work_out(r, tokens_before(r)));
+	wait_us = length_corrected_wait_us(rq_lengths(r), work_out(r, tokens_before(r)));
 	if (in_time(r, wait_us)) return 0;
 	if (waited_us > r->worked_out_us) learn_wait(r, waited_us);
 	refuse(r, wait_us);
@@ -133,7 +133,7 @@
 		return 1;
 	}
 	worked_out_us = work_out(r, first);
-	wait_us = length_wait_us(rq_lengths(r), worked_out_us);
+	wait_us = length_corrected_wait_us(rq_lengths(r), worked_out_us);
 	if (in_time(r, wait_us))
 		wait_for_room(r, worked_out_us, wait_us);
 	else
--- a/test/crowding.c
+++ b/test/crowding.c
@@ -1,5 +1,6 @@
-/* Steps of ten milliseconds: engines read prompts in their order and make a token of each run;
- * requests come at random and go where the product's own decisions send them. */
+/* Simulation in steps of ten milliseconds: engines prefill prompts in order of arrival and
+ * generate tokens for each run; requests arrive at random and are placed by the product's own
+ * functions. */
 #include "crowding.h"
 #include <math.h>
 #include <saddlehead/place.h>
@@ -7,34 +8,34 @@
 #include <string.h>
 
 #define STEP_MS 10
-#define STEP_TOKENS 1.1  /* that each run makes in a step */
-#define READ_ALONE 140.0 /* prompt tokens that an engine reads in a step ... */
-#define READ_BESIDE 70.0 /* ... and beside runs */
-#define MEMORY 21864     /* tokens */
+#define STEP_TOKENS 1.1     /* tokens per run and step */
+#define PREFILL_ALONE 140.0 /* prompt tokens that an engine prefills per step ... */
+#define PREFILL_BESIDE 70.0 /* ... and while it also decodes */
+#define MEMORY 21864        /* tokens */
 #define SLOTS 24
 #define ENGINES_MAX 128
 #define RUNS_MAX 64
 #define LONG_PROMPT 3000
 #define SHORT_PROMPT 2200
-#define LONG_TOKENS 750 /* that it makes, on the mean */
+#define LONG_TOKENS 750 /* mean number of generated tokens */
 #define SHORT_TOKENS 9
-#define LONG_AIM_MS 1800
-#define SHORT_AIM_MS 1500
+#define LONG_OBJECTIVE_MS 1800
+#define SHORT_OBJECTIVE_MS 1500
 #define LEAVE_EVERY_MS 3300
 #define LEAVE_SHARE 0.14
 #define AWAY_MS 4000
-#define MOVE_MS 400 /* memory is under way so long */
+#define MOVE_MS 400 /* duration of a memory transfer */
 #define WAITING_MAX 4096
 
 struct run {
 	int is_long, late_counted;
-	int came_ms, moving_until_ms; /* 0: it is here */
+	int arrived_ms, moving_until_ms; /* moving_until_ms: end of its transfer; 0: none */
 	double prompt, unread, made, tokens;
 };
 
 struct engine {
 	struct run run[RUNS_MAX];
-	int n, back_ms; /* away until then */
+	int n, back_ms; /* back_ms: gone until then */
 };
 
 struct replay {
@@ -46,18 +47,18 @@
 	unsigned draw;
 };
 
-static double part(struct replay *r)
+static double draw_unit(struct replay *r)
 {
 	r->draw = r->draw * 1664525u + 1013904223u;
 	return ((r->draw >> 8) + 1) / 16777217.0;
 }
 
-static int aim_ms(const struct run *g)
+static int objective_ms(const struct run *g)
 {
-	return g->is_long ? LONG_AIM_MS : SHORT_AIM_MS;
+	return g->is_long ? LONG_OBJECTIVE_MS : SHORT_OBJECTIVE_MS;
 }
 
-static void believe_run(struct place_site *s, const struct run *g, const struct replay *r)
+static void add_to_view(struct place_server *s, const struct run *g, const struct replay *r)
 {
 	double left = g->tokens - g->made;
 
@@ -71,18 +72,18 @@
 	s->held += (uint32_t)(g->prompt + g->made + (left > 0 ? left : 0));
 }
 
-static void believe(const struct replay *r, struct place_site *s)
+static void build_view(const struct replay *r, struct place_server *s)
 {
 	int i, k;
 
 	for (i = 0; i < r->l->engines; i++) {
 		const struct engine *e = &r->engine[i];
 
-		s[i] = (struct place_site){.usable = r->now_ms >= e->back_ms,
-					   .near = 1,
-					   .slots = SLOTS,
-					   .tokens = MEMORY};
-		for (k = 0; k < e->n; k++) believe_run(&s[i], &e->run[k], r);
+		s[i] = (struct place_server){.usable = r->now_ms >= e->back_ms,
+					     .same_dc = 1,
+					     .slots = SLOTS,
+					     .tokens = MEMORY};
+		for (k = 0; k < e->n; k++) add_to_view(&s[i], &e->run[k], r);
 		if (e->n >= RUNS_MAX) s[i].usable = 0;
 	}
 }
@@ -93,37 +94,37 @@
 				  .growth = g->is_long ? LONG_TOKENS : SHORT_TOKENS};
 }
 
-/* 1 when it was sent. */
+/* Returns 1 if it was sent. */
 static int try_to_send(struct replay *r, const struct run *g)
 {
-	struct place_site s[ENGINES_MAX], blind;
+	struct place_server s[ENGINES_MAX], seen;
 	struct place_job j = job_of(g);
 	int at;
 
-	believe(r, s);
-	at = place_generation(s, r->l->engines, &j, (uint32_t)(part(r) * 4294967295.0));
+	build_view(r, s);
+	at = place_generation(s, r->l->engines, &j, (uint32_t)(draw_unit(r) * 4294967295.0));
 	if (at < 0) return 0;
-	blind = s[at];
-	if (!r->l->counts_inbound) blind.inbound = 0;
-	if (!place_fits(&blind, &j)) return 0;
-	if (r->l->waits &&
-	    place_waits(&s[at], (r->now_ms - g->came_ms) * 1000, aim_ms(g) * 1000))
+	seen = s[at];
+	if (!r->l->counts_inbound) seen.inbound = 0;
+	if (!place_fits(&seen, &j)) return 0;
+	if (r->l->waits && place_should_wait(&s[at], (r->now_ms - g->arrived_ms) * 1000,
+					     objective_ms(g) * 1000))
 		return 0;
 	r->engine[at].run[r->engine[at].n++] = *g;
 	return 1;
 }
 
-static void come(struct replay *r, int is_long)
+static void arrive(struct replay *r, int is_long)
 {
-	struct run g = {.is_long = is_long, .came_ms = r->now_ms};
+	struct run g = {.is_long = is_long, .arrived_ms = r->now_ms};
 	double mean = is_long ? LONG_TOKENS : SHORT_TOKENS;
 
-	g.prompt = g.unread = (is_long ? LONG_PROMPT : SHORT_PROMPT) * (0.5 + part(r));
-	g.tokens = 1 - mean * log(part(r));
+	g.prompt = g.unread = (is_long ? LONG_PROMPT : SHORT_PROMPT) * (0.5 + draw_unit(r));
+	g.tokens = 1 - mean * log(draw_unit(r));
 	if (r->nwaiting < WAITING_MAX) r->waiting[r->nwaiting++] = g;
 }
 
-/* Short ones are the more urgent. */
+/* Short requests are more urgent. */
 static void send_waiting(struct replay *r)
 {
 	int want, i;
@@ -134,7 +135,7 @@
 			int gone = 0;
 
 			if (g->is_long != want) continue;
-			if (r->now_ms - g->came_ms > aim_ms(g)) {
+			if (r->now_ms - g->arrived_ms > objective_ms(g)) {
 				r->result.refused++;
 				gone = 1;
 			}
@@ -146,13 +147,13 @@
 	}
 }
 
-static void read_prompts(struct engine *e, const struct replay *r)
+static void prefill(struct engine *e, const struct replay *r)
 {
-	double budget = READ_ALONE;
+	double budget = PREFILL_ALONE;
 	int i;
 
 	for (i = 0; i < e->n; i++)
-		if (!e->run[i].unread) budget = READ_BESIDE;
+		if (!e->run[i].unread) budget = PREFILL_BESIDE;
 	for (i = 0; i < e->n && budget > 0; i++) {
 		struct run *g = &e->run[i];
 		double now = g->unread < budget ? g->unread : budget;
@@ -163,12 +164,12 @@
 	}
 }
 
-static void note_first(struct replay *r, struct run *g)
+static void record_first_token(struct replay *r, struct run *g)
 {
 	if (!g->is_long || g->late_counted) return;
 	g->late_counted = 1;
 	r->result.longs++;
-	r->result.late += r->now_ms - g->came_ms > LONG_AIM_MS;
+	r->result.late += r->now_ms - g->arrived_ms > LONG_OBJECTIVE_MS;
 }
 
 static void make_tokens(struct engine *e, struct replay *r)
@@ -179,14 +180,14 @@
 		struct run *g = &e->run[i];
 
 		if (g->unread > 0 || g->moving_until_ms > r->now_ms) continue;
-		note_first(r, g);
+		record_first_token(r, g);
 		g->made += STEP_TOKENS;
 		if (g->made >= g->tokens) *g = e->run[--e->n];
 	}
 }
 
-/* The newest of the least urgent gives way, and is read anew. */
-static void press_out(struct engine *e, struct replay *r)
+/* Preempts the last runs that exceed the memory; they are prefilled again. */
+static void preempt(struct engine *e, struct replay *r)
 {
 	double used = 0;
 	int i;
@@ -203,23 +204,24 @@
 
 static void move_run(struct replay *r, struct run *g)
 {
-	struct place_site s[ENGINES_MAX];
+	struct place_server s[ENGINES_MAX];
 	struct place_job j = {.prompt = (uint32_t)(g->prompt + g->made)};
 	int at;
 
-	believe(r, s);
-	at = place_move(s, r->l->engines, &j, (uint32_t)(part(r) * 4294967295.0));
+	build_view(r, s);
+	at = place_move(s, r->l->engines, &j, (uint32_t)(draw_unit(r) * 4294967295.0));
 	if (at < 0) return;
 	if (!g->unread) g->moving_until_ms = r->now_ms + MOVE_MS;
 	r->engine[at].run[r->engine[at].n++] = *g;
 }
 
-static void leave(struct replay *r)
+static void engines_leave(struct replay *r)
 {
 	int n = (int)(r->l->engines * LEAVE_SHARE);
 
 	while (n-- > 0) {
-		struct engine *e = &r->engine[(int)(part(r) * r->l->engines) % r->l->engines];
+		struct engine *e =
+			&r->engine[(int)(draw_unit(r) * r->l->engines) % r->l->engines];
 
 		if (r->now_ms < e->back_ms) continue;
 		e->back_ms = r->now_ms + AWAY_MS;
@@ -233,10 +235,10 @@
 
 static int arrivals(struct replay *r, double per_s)
 {
-	double mean = per_s * STEP_MS / 1000, p = exp(-mean), left = part(r);
+	double mean = per_s * STEP_MS / 1000, p = exp(-mean), left = draw_unit(r);
 	int n = 0;
 
-	for (; left > p && n < 16; n++) left *= part(r);
+	for (; left > p && n < 16; n++) left *= draw_unit(r);
 	return n;
 }
 
@@ -249,14 +251,14 @@
 	r->l = l;
 	r->draw = l->seed;
 	for (; r->now_ms < l->seconds * 1000; r->now_ms += STEP_MS) {
-		if (r->now_ms % LEAVE_EVERY_MS < STEP_MS) leave(r);
-		for (n = arrivals(r, l->long_per_s); n > 0; n--) come(r, 1);
-		for (n = arrivals(r, l->short_per_s); n > 0; n--) come(r, 0);
+		if (r->now_ms % LEAVE_EVERY_MS < STEP_MS) engines_leave(r);
+		for (n = arrivals(r, l->long_per_s); n > 0; n--) arrive(r, 1);
+		for (n = arrivals(r, l->short_per_s); n > 0; n--) arrive(r, 0);
 		send_waiting(r);
 		for (i = 0; i < l->engines; i++) {
-			read_prompts(&r->engine[i], r);
+			prefill(&r->engine[i], r);
 			make_tokens(&r->engine[i], r);
-			press_out(&r->engine[i], r);
+			preempt(&r->engine[i], r);
 		}
 	}
 	result = r->result;
--- a/test/crowding.h
+++ b/test/crowding.h
@@ -1,5 +1,6 @@
-/* A replay of the worst load: long and short prompts on engines with little memory, of which a
- * seventh leaves every few seconds; what runs there moves. The decisions are the product's. */
+/* Simulates the worst load: long and short prompts on engines with little memory, a seventh of
+ * which leaves every few seconds, so that their runs are moved. Uses the product's own
+ * placement. */
 #ifndef CROWDING_H
 #define CROWDING_H
 
@@ -7,14 +8,15 @@
 	int engines, seconds;
 	double long_per_s, short_per_s;
 	unsigned seed;
-	/* Mechanisms, to be taken out: */
-	int counts_inbound; /* memory that is on its way is taken */
-	int waits;          /* for another engine than one with much to read */
+	/* Mechanisms that can be disabled: */
+	int counts_inbound; /* memory in transfer counts as used */
+	int waits; /* requests wait for another engine if one has a long prefill backlog */
 };
 
 struct crowding_result {
-	int longs, late; /* long streams whose first token came; of these, after their aim */
-	int preempted;   /* runs put off for lack of memory, and read again */
+	int longs, late; /* long streams with a first token; those where it missed the latency
+			    objective */
+	int preempted;   /* runs preempted for lack of memory, and prefilled again */
 	int refused;
 };
 
--- a/test/placing.h
+++ b/test/placing.h
@@ -1,20 +1,20 @@
-/* A replay of generations that many instances place on the same engines, each knowing what the
- * others sent only after a while. The decisions are the product's own (place_generation). */
+/* Simulates many instances that place generations on the same engines, each receiving the
+ * others' loads with a delay. Uses the product's own decisions (place_generation). */
 #ifndef PLACING_H
 #define PLACING_H
 
 struct placing_load {
 	int instances;
 	int engines;
-	double per_s;  /* generations, over all instances */
-	double age_ms; /* how late an instance hears of the others' sends */
+	double per_s;  /* generations per second, from all instances */
+	double age_ms; /* delay until an instance has the other instances' sends */
 	int seconds;
-	int reckons; /* with rivals: what they send meanwhile is reckoned with */
+	int counts_rivals; /* whether place_job.rivals is set */
 	unsigned seed;
 };
 
 struct placing_result {
-	double mean_ms, p99_ms; /* that a prompt waits for others before it is read */
+	double mean_ms, p99_ms; /* time that a prompt waits before its prefill */
 };
 
 struct placing_result placing_run(const struct placing_load *l);
--- a/test/quar_play.h
+++ b/test/quar_play.h
@@ -1,4 +1,4 @@
-/* What the tests of the quarantine's decision share: requests are known by numbers. */
+/* Helpers shared by the tests of the quarantine; requests are identified by numbers. */
 #ifndef QUAR_PLAY_H
 #define QUAR_PLAY_H
 #include "quar.h"
@@ -8,7 +8,7 @@
 #define MS 1000LL
 #define S 1000000LL
 
-static inline struct fp print_of(uint32_t n)
+static inline struct fp fp_of(uint32_t n)
 {
 	struct fp f = {{0}};
 
@@ -17,19 +17,19 @@
 	return f;
 }
 
-static inline uint32_t end_at(struct quar *q, int64_t at_us)
+static inline uint32_t crash_at(struct quar *q, int64_t at_us)
 {
 	static int serial;
 	char name[32];
 
 	g_snprintf(name, sizeof name, "server-%d", ++serial);
-	return quar_ended(q, name, 0, "here", at_us);
+	return quar_add_crash(q, name, 0, "here", at_us);
 }
 
-static inline void ran(struct quar *q, uint32_t request, uint32_t end, int64_t ran_us)
+static inline void ran(struct quar *q, uint32_t request, uint32_t crash, int64_t ran_us)
 {
-	struct fp f = print_of(request);
+	struct fp f = fp_of(request);
 
-	quar_ran(q, &f, end, ran_us);
+	quar_add_run(q, &f, crash, ran_us);
 }
 #endif
--- a/test/test_core.c
+++ b/test/test_core.c
@@ -1,4 +1,4 @@
-/* The decision core's rules, one by one. */
+/* Tests of the decision core's rules, one by one. */
 #include "check.h"
 #include <saddlehead/core.h>
 #include <string.h>
@@ -121,7 +121,7 @@
 	one_group();
 	engine(ENG, 0);
 	ticket(1, 1, 100);
-	CU_ASSERT_EQUAL(norders, 0); /* the engine has not reported yet */
+	CU_ASSERT_EQUAL(norders, 0); /* the engine has not sent a load report yet */
 	load(ENG, 0, 0, 1000, 4);
 	CU_ASSERT(granted(1));
 	CU_ASSERT_EQUAL(orders[0].engine, ENG);
@@ -143,7 +143,7 @@
 	core_free(c);
 }
 
-/* A report that is late doesn't show what was just granted. */
+/* A load report may not include recent grants yet; the core must still count them. */
 static void counts_its_own_grants(void)
 {
 	one_group();
@@ -207,7 +207,7 @@
 	core_free(c);
 }
 
-/* A share of the ceiling: none at first, then some. */
+/* The group's share of its ceiling limits its running requests: none at first, then some. */
 static void a_share_is_what_may_run(void)
 {
 	struct core_group_row row = {.id = 1, .weight = 1, .ceil_running = 10};
@@ -250,7 +250,7 @@
 	core_free(c);
 }
 
-/* A group that comes back from idling starts level: it is not owed the time it was away. */
+/* A group that becomes busy after idling must not be compensated for the time it was idle. */
 static void idling_banks_no_credit(void)
 {
 	struct core_group_row row[2] = {{.id = 1, .weight = 1}, {.id = 2, .weight = 1}};
@@ -323,8 +323,7 @@
 	core_free(c);
 }
 
-/* The last engine goes elsewhere: what waits is sent elsewhere too, at once. */
-/* What failed says so; the engine's next report, if there is one, opens it again. */
+/* A failed request closes the engine until its next load report. */
 static void a_failure_closes_the_engine_until_it_reports(void)
 {
 	struct core_event ev = {.type = CORE_EV_DONE};
@@ -343,6 +342,8 @@
 	core_free(c);
 }
 
+/* When the last engine is gone the waiting tickets are refused at once, so that their entries
+ * ask elsewhere. */
 static void strands_nobody(void)
 {
 	struct core_event ev = {.type = CORE_EV_ENGINE_GONE, .u.engine_gone = ENG};
@@ -404,7 +405,7 @@
 	core_free(c);
 }
 
-/* Weights 1:2:4, all backlogged: served in that proportion. */
+/* Groups with weights 1:2:4, all backlogged, are served in that proportion. */
 static void serves_by_weight(void)
 {
 	struct core_group_row row[3] = {
--- a/test/test_peers.c
+++ b/test/test_peers.c
@@ -52,7 +52,7 @@
 	snprintf(name, sizeof name, "m%d", to);
 	if (mbr_find(m[from], hash_name(name), &x) && x.state >= MBR_SUSPECT) news[n++] = x;
 	n += mbr_gossip(m[from], news + n, MBR_GOSSIP_MAX);
-	mbr_heard(m[to], news[0].id, now);
+	mbr_seen(m[to], news[0].id, now);
 	for (k = 0; k < n; k++) mbr_apply(m[to], &news[k], now);
 }
 
--- a/test/test_placing.c
+++ b/test/test_placing.c
@@ -1,22 +1,23 @@
-/* Loads that many instances place at once: what waits stays short. */
+/* Tests placement by many concurrent instances: waiting times stay short. */
 #include "check.h"
 #include "crowding.h"
 #include "placing.h"
 
-/* The cheapest engine is the same for all that know the same: with counts 100 ms old 300
- * choosers made prompts wait for 0.8 s at the mean. With fresh ones nothing is given up. */
+/* All instances with the same view have the same cheapest engine: with loads 100 ms old, 300
+ * instances that all chose it made prompts wait 0.8 s on average. Drawing among several must
+ * not cost anything while loads are fresh. */
 static void many_that_choose_at_once_spread(void)
 {
 	static const int instances[] = {6, 16, 300};
 	static const double ages_ms[] = {5, 100};
 	struct placing_load l = {
-		.engines = 122, .per_s = 160, .seconds = 20, .seed = 11, .reckons = 1};
+		.engines = 122, .per_s = 160, .seconds = 20, .seed = 11, .counts_rivals = 1};
 	struct placing_load plain = l;
 	struct placing_result fresh, r;
 	int i, k;
 
 	plain.instances = l.instances = 6;
-	plain.reckons = 0;
+	plain.counts_rivals = 0;
 	fresh = placing_run(&plain);
 	CU_ASSERT_DOUBLE_EQUAL(placing_run(&l).mean_ms, fresh.mean_ms, 0.01);
 	for (i = 0; i < 3; i++) {
@@ -30,24 +31,24 @@
 	}
 }
 
-/* A burst of twice the requests on engines that are half taken by reading. */
+/* A burst of twice the request rate, when prefill already takes half of the engines' time. */
 static void a_burst_with_late_counts_stays_in_time(void)
 {
 	struct placing_load l = {.engines = 122,
 				 .per_s = 320,
 				 .seconds = 20,
 				 .seed = 12,
-				 .reckons = 1,
+				 .counts_rivals = 1,
 				 .instances = 16,
 				 .age_ms = 20};
 
-	CU_ASSERT(placing_run(&l).p99_ms < 1100); /* 1,700 by the cheapest */
+	CU_ASSERT(placing_run(&l).p99_ms < 1100); /* 1,700 if the cheapest is always chosen */
 }
 
 #define SEEDS 4
-#define PREEMPTED_MOST 100 /* of a day of half a minute, as is aimed at */
+#define PREEMPTED_MOST 100 /* target for a simulated day of half a minute */
 
-/* A seventh of the engines leaves every 3.3 s, and memory binds. */
+/* A seventh of the engines leaves every 3.3 s, and memory is scarce. */
 static int preempted_days(int counts_inbound, int waits)
 {
 	struct crowding_load l = {.engines = 72,
--- a/test/test_quar.c
+++ b/test/test_quar.c
@@ -1,5 +1,5 @@
-/* Which request ended the servers, told from what ran beside it: the decision alone, and played
- * on whole days of a fleet. */
+/* Tests of the quarantine's decisions: which of the requests that ran on crashed servers is
+ * quarantined, and when it is free again. */
 #include "check.h"
 #include "quar_play.h"
 #include <errno.h>
@@ -11,14 +11,14 @@
 
 /* ---- one decision ---- */
 
-static int nblamed;
-static struct fp blamed[64];
+static int nquarantined;
+static struct fp quarantined[64];
 
 static void note(const struct quar_suspect *s, void *arg)
 {
 	(void)arg;
-	if (nblamed < 64) blamed[nblamed] = s->fp;
-	nblamed++;
+	if (nquarantined < 64) quarantined[nquarantined] = s->fp;
+	nquarantined++;
 }
 
 static void judge(struct quar *q, int64_t now_us)
@@ -28,206 +28,208 @@
 
 static struct quar *begin(void)
 {
-	nblamed = 0;
+	nquarantined = 0;
 	return quar_new();
 }
 
-static enum quar_answer ask(const struct quar *q, uint32_t request, uint32_t under_way,
+static enum quar_action ask(const struct quar *q, uint32_t request, uint32_t in_flight,
 			    int64_t now_us)
 {
-	struct fp f = print_of(request);
+	struct fp f = fp_of(request);
 
-	return quar_ask(q, &f, under_way, now_us);
+	return quar_check(q, &f, in_flight, now_us);
 }
 
-static int sound(struct quar *q, uint32_t request, int64_t at_us)
+static int succeed(struct quar *q, uint32_t request, int64_t at_us)
 {
-	struct fp f = print_of(request);
+	struct fp f = fp_of(request);
 
-	return quar_sound(q, &f, at_us);
+	return quar_add_success(q, &f, at_us);
 }
 
-/* Three servers end under it, a second apart. */
-static void end_three(struct quar *q, uint32_t request, int64_t from_us)
+/* Three servers crash under it, one second apart. */
+static void crash_three(struct quar *q, uint32_t request, int64_t from_us)
 {
 	int i;
 
-	for (i = 0; i < 3; i++) ran(q, request, end_at(q, from_us + i * S), 100 * MS);
+	for (i = 0; i < 3; i++) ran(q, request, crash_at(q, from_us + i * S), 100 * MS);
 }
 
 static void three_ends_under_one_request_blame_it(void)
 {
 	struct quar *q = begin();
 
-	ran(q, 1, end_at(q, 10 * S), 100 * MS);
-	ran(q, 1, end_at(q, 11 * S), 100 * MS);
+	ran(q, 1, crash_at(q, 10 * S), 100 * MS);
+	ran(q, 1, crash_at(q, 11 * S), 100 * MS);
 	judge(q, 11 * S);
-	CU_ASSERT_EQUAL(nblamed, 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 11 * S), QUAR_FREE);
-	ran(q, 1, end_at(q, 12 * S), 100 * MS);
+	CU_ASSERT_EQUAL(nquarantined, 0);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 11 * S), QUAR_ALLOW);
+	ran(q, 1, crash_at(q, 12 * S), 100 * MS);
 	judge(q, 12 * S);
-	CU_ASSERT_EQUAL(nblamed, 1);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 12 * S), QUAR_BLOCKED);
-	CU_ASSERT_EQUAL(ask(q, 2, 0, 12 * S), QUAR_FREE);
+	CU_ASSERT_EQUAL(nquarantined, 1);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 12 * S), QUAR_REFUSE);
+	CU_ASSERT_EQUAL(ask(q, 2, 0, 12 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
-/* Word that it came through elsewhere may be under way. */
+/* A report that it completed elsewhere may still be in flight. */
 static void an_end_is_judged_once_all_had_time_to_tell(void)
 {
 	struct quar *q = begin();
 
-	end_three(q, 1, 10 * S);
+	crash_three(q, 1, 10 * S);
 	quar_judge(q, SERVERS, 12 * S - MS, 12 * S, note, NULL);
-	CU_ASSERT_EQUAL(nblamed, 0);
+	CU_ASSERT_EQUAL(nquarantined, 0);
 	quar_judge(q, SERVERS, 12 * S, 12 * S + 200 * MS, note, NULL);
-	CU_ASSERT_EQUAL(nblamed, 1);
+	CU_ASSERT_EQUAL(nquarantined, 1);
 	quar_free(q);
 }
 
-/* Each instance that had a run there tells of the same end. */
+/* Each instance that had a run on the server reports the same crash. */
 static void an_end_that_is_told_twice_counts_once(void)
 {
 	struct quar *q = begin();
-	struct fp f = print_of(1);
-	uint32_t e = quar_ended(q, "a", 0, "here", 10 * S);
+	struct fp f = fp_of(1);
+	uint32_t e = quar_add_crash(q, "a", 0, "here", 10 * S);
 	int i;
 
 	for (i = 0; i < 5; i++)
-		CU_ASSERT_EQUAL(quar_ended(q, "a", 0, "there", 10 * S + i * MS), e);
-	CU_ASSERT(quar_ended(q, "a", 7, "there", 10 * S) != e);
-	CU_ASSERT_EQUAL(quar_ran(q, &f, e, 100 * MS), 1);
-	CU_ASSERT_EQUAL(quar_ran(q, &f, e, 100 * MS), 0);
+		CU_ASSERT_EQUAL(quar_add_crash(q, "a", 0, "there", 10 * S + i * MS), e);
+	CU_ASSERT(quar_add_crash(q, "a", 7, "there", 10 * S) != e);
+	CU_ASSERT_EQUAL(quar_add_run(q, &f, e, 100 * MS), 1);
+	CU_ASSERT_EQUAL(quar_add_run(q, &f, e, 100 * MS), 0);
 	CU_ASSERT_EQUAL(quar_count(q, quar_find(q, &f)), 1);
 	quar_free(q);
 }
 
-/* Long streams went from one engine to the next with it, and all ended under them too. */
+/* Long streams were moved from engine to engine together with it, so that all the crashes
+ * happened under them too. */
 static void what_ran_beside_it_is_not_blamed(void)
 {
 	struct quar *q = begin();
-	struct fp f = print_of(1);
+	struct fp f = fp_of(1);
 	int i;
 
 	for (i = 0; i < 3; i++) {
-		uint32_t e = end_at(q, 10 * S + i * S);
+		uint32_t e = crash_at(q, 10 * S + i * S);
 
 		ran(q, 2, e, 900 * MS);
 		ran(q, 3, e, 1200 * MS);
 		ran(q, 1, e, 100 * MS);
 		judge(q, 10 * S + i * S);
 	}
-	CU_ASSERT_EQUAL(nblamed, 1);
-	CU_ASSERT(fp_equal(&blamed[0], &f));
-	CU_ASSERT_EQUAL(ask(q, 2, 0, 13 * S), QUAR_FREE);
-	CU_ASSERT_EQUAL(ask(q, 3, 9, 13 * S), QUAR_FREE);
+	CU_ASSERT_EQUAL(nquarantined, 1);
+	CU_ASSERT(fp_equal(&quarantined[0], &f));
+	CU_ASSERT_EQUAL(ask(q, 2, 0, 13 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(ask(q, 3, 9, 13 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
-/* Two that came together each time can't be told apart: not until one end more or two. */
+/* Two requests that always ran on the same servers can't be distinguished until one of them has
+ * further crashes. */
 static void two_that_always_ran_together_wait_for_more(void)
 {
 	struct quar *q = begin();
 	int i;
 
 	for (i = 0; i < 3; i++) {
-		uint32_t e = end_at(q, 10 * S + i * S);
+		uint32_t e = crash_at(q, 10 * S + i * S);
 
 		ran(q, 1, e, 100 * MS);
 		ran(q, 2, e, 110 * MS);
 	}
 	judge(q, 13 * S);
-	CU_ASSERT_EQUAL(nblamed, 0);
-	ran(q, 1, end_at(q, 14 * S), 100 * MS);
+	CU_ASSERT_EQUAL(nquarantined, 0);
+	ran(q, 1, crash_at(q, 14 * S), 100 * MS);
 	judge(q, 14 * S);
-	CU_ASSERT_EQUAL(nblamed, 1);
-	CU_ASSERT_EQUAL(ask(q, 2, 0, 14 * S), QUAR_FREE);
+	CU_ASSERT_EQUAL(nquarantined, 1);
+	CU_ASSERT_EQUAL(ask(q, 2, 0, 14 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
-/* What everybody sends runs on each server that ends, and comes through everywhere else. */
+/* A frequent request runs on each server that crashes, but completes everywhere else. */
 static void one_that_comes_through_elsewhere_is_not_blamed(void)
 {
 	struct quar *q = begin();
 	int i;
 
 	for (i = 0; i < 20; i++) {
-		ran(q, 1, end_at(q, 10 * S + i * 3 * S), 50 * MS);
-		CU_ASSERT_EQUAL(sound(q, 1, 10 * S + i * 3 * S + 20 * MS), 1);
+		ran(q, 1, crash_at(q, 10 * S + i * 3 * S), 50 * MS);
+		CU_ASSERT_EQUAL(succeed(q, 1, 10 * S + i * 3 * S + 20 * MS), 1);
 		judge(q, 10 * S + i * 3 * S + 30 * MS);
 	}
-	CU_ASSERT_EQUAL(nblamed, 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 50, 68 * S), QUAR_FREE);
+	CU_ASSERT_EQUAL(nquarantined, 0);
+	CU_ASSERT_EQUAL(ask(q, 1, 50, 68 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
-/* And it is, from two seconds after the last sound sign on. */
+/* Crashes count again from two seconds after its last completed run. */
 static void one_that_came_through_once_may_be_blamed_later(void)
 {
 	struct quar *q = begin();
 
-	ran(q, 1, end_at(q, 9 * S), 100 * MS);
-	sound(q, 1, 9 * S + 500 * MS);
-	end_three(q, 1, 12 * S);
+	ran(q, 1, crash_at(q, 9 * S), 100 * MS);
+	succeed(q, 1, 9 * S + 500 * MS);
+	crash_three(q, 1, 12 * S);
 	judge(q, 15 * S);
-	CU_ASSERT_EQUAL(nblamed, 1);
+	CU_ASSERT_EQUAL(nquarantined, 1);
 	quar_free(q);
 }
 
-/* Servers that end together had a cause in common: a stream was on one of them. */
+/* Servers that crash simultaneously have a common cause; the stream ran on only one of them. */
 static void ends_at_one_moment_do_not_count_against_what_ran_on_one(void)
 {
 	struct quar *q = begin();
 	int i, k;
 
 	for (i = 0; i < 6; i++) {
-		ran(q, 1, end_at(q, 10 * S + i * S), 100 * MS);
-		for (k = 0; k < 2; k++) end_at(q, 10 * S + i * S + 20 * MS);
+		ran(q, 1, crash_at(q, 10 * S + i * S), 100 * MS);
+		for (k = 0; k < 2; k++) crash_at(q, 10 * S + i * S + 20 * MS);
 		judge(q, 10 * S + i * S + 50 * MS);
 	}
-	CU_ASSERT_EQUAL(nblamed, 0);
+	CU_ASSERT_EQUAL(nquarantined, 0);
 	quar_free(q);
 }
 
-/* Copies of it at several instances at once. */
+/* The same request was sent by several instances at once. */
 static void ends_at_one_moment_count_against_what_ran_on_all(void)
 {
 	struct quar *q = begin();
 	int i;
 
-	for (i = 0; i < 4; i++) ran(q, 1, end_at(q, 10 * S + i * 10 * MS), 100 * MS);
+	for (i = 0; i < 4; i++) ran(q, 1, crash_at(q, 10 * S + i * 10 * MS), 100 * MS);
 	judge(q, 11 * S);
-	CU_ASSERT_EQUAL(nblamed, 1);
+	CU_ASSERT_EQUAL(nquarantined, 1);
 	quar_free(q);
 }
 
-/* Servers that end now and then for other causes end long runs more often than short ones. */
+/* Servers that crash for other causes interrupt long runs more often than short ones. */
 static void long_runs_are_not_blamed_where_servers_end_often(void)
 {
 	struct quar *q = begin();
 	int i;
 
-	for (i = 0; i < 60; i++) end_at(q, 10 * S + i * 500 * MS);
-	for (i = 0; i < 3; i++) ran(q, 1, end_at(q, 20 * S + i * 5 * S + 250 * MS), 5 * S);
+	for (i = 0; i < 60; i++) crash_at(q, 10 * S + i * 500 * MS);
+	for (i = 0; i < 3; i++) ran(q, 1, crash_at(q, 20 * S + i * 5 * S + 250 * MS), 5 * S);
 	judge(q, 41 * S);
-	CU_ASSERT_EQUAL(nblamed, 0);
-	for (i = 0; i < 6; i++) ran(q, 2, end_at(q, 20 * S + i * 3 * S + 150 * MS), 40 * MS);
+	CU_ASSERT_EQUAL(nquarantined, 0);
+	for (i = 0; i < 6; i++) ran(q, 2, crash_at(q, 20 * S + i * 3 * S + 150 * MS), 40 * MS);
 	judge(q, 41 * S);
-	CU_ASSERT_EQUAL(nblamed, 1);
+	CU_ASSERT_EQUAL(nquarantined, 1);
 	quar_free(q);
 }
 
-/* What is under way counts as if it ended its server, until it is known. */
+/* Until its result is known, a run in flight counts as if it crashed its server. */
 static void copies_under_way_count_before_their_ends_are_told(void)
 {
 	struct quar *q = begin();
 
-	CU_ASSERT_EQUAL(ask(q, 1, 9, 10 * S), QUAR_FREE);
-	ran(q, 1, end_at(q, 10 * S), 100 * MS);
-	CU_ASSERT_EQUAL(ask(q, 1, 1, 10 * S), QUAR_FREE);
+	CU_ASSERT_EQUAL(ask(q, 1, 9, 10 * S), QUAR_ALLOW);
+	ran(q, 1, crash_at(q, 10 * S), 100 * MS);
+	CU_ASSERT_EQUAL(ask(q, 1, 1, 10 * S), QUAR_ALLOW);
 	CU_ASSERT_EQUAL(ask(q, 1, 2, 10 * S), QUAR_WAIT);
-	ran(q, 1, end_at(q, 11 * S), 100 * MS);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 11 * S), QUAR_FREE);
+	ran(q, 1, crash_at(q, 11 * S), 100 * MS);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 11 * S), QUAR_ALLOW);
 	CU_ASSERT_EQUAL(ask(q, 1, 1, 11 * S), QUAR_WAIT);
 	quar_free(q);
 }
@@ -236,13 +238,13 @@
 {
 	struct quar *q = begin();
 
-	end_three(q, 1, 10 * S);
+	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 72 * S), QUAR_BLOCKED);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 72 * S), QUAR_REFUSE);
 	CU_ASSERT_EQUAL(ask(q, 1, 0, 74 * S), QUAR_TRIAL);
-	CU_ASSERT_EQUAL(ask(q, 1, 1, 74 * S), QUAR_BLOCKED); /* one at a time */
-	CU_ASSERT_EQUAL(sound(q, 1, 75 * S), 2);
-	CU_ASSERT_EQUAL(ask(q, 1, 5, 75 * S), QUAR_FREE);
+	CU_ASSERT_EQUAL(ask(q, 1, 1, 74 * S), QUAR_REFUSE); /* one at a time */
+	CU_ASSERT_EQUAL(succeed(q, 1, 75 * S), 2);
+	CU_ASSERT_EQUAL(ask(q, 1, 5, 75 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
@@ -250,50 +252,50 @@
 {
 	struct quar *q = begin();
 
-	end_three(q, 1, 10 * S);
+	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
-	ran(q, 1, end_at(q, 74 * S), 100 * MS);
+	ran(q, 1, crash_at(q, 74 * S), 100 * MS);
 	judge(q, 74 * S);
-	CU_ASSERT_EQUAL(nblamed, 2);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 74 * S + 119 * S), QUAR_BLOCKED);
+	CU_ASSERT_EQUAL(nquarantined, 2);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 74 * S + 119 * S), QUAR_REFUSE);
 	CU_ASSERT_EQUAL(ask(q, 1, 0, 74 * S + 121 * S), QUAR_TRIAL);
 	quar_free(q);
 }
 
-/* A run that was under way when it was blamed and came through shows the same. */
+/* A run that was in flight when the quarantine began and then completed ends it. */
 static void a_run_that_comes_through_frees_at_once(void)
 {
 	struct quar *q = begin();
 
-	end_three(q, 1, 10 * S);
+	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
-	CU_ASSERT_EQUAL(sound(q, 1, 7 * S), 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 14 * S), QUAR_BLOCKED);
-	CU_ASSERT_EQUAL(sound(q, 1, 14 * S), 2);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 14 * S), QUAR_FREE);
+	CU_ASSERT_EQUAL(succeed(q, 1, 7 * S), 0);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 14 * S), QUAR_REFUSE);
+	CU_ASSERT_EQUAL(succeed(q, 1, 14 * S), 2);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 14 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
 static void an_operator_clears_one(void)
 {
 	struct quar *q = begin();
-	struct fp f = print_of(1);
+	struct fp f = fp_of(1);
 
 	CU_ASSERT_EQUAL(quar_clear(q, &f, 9 * S), -ENOENT);
-	end_three(q, 1, 10 * S);
+	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
 	CU_ASSERT_EQUAL(quar_clear(q, &f, 14 * S), 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 14 * S), QUAR_FREE);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 14 * S), QUAR_ALLOW);
 	judge(q, 14 * S);
-	CU_ASSERT_EQUAL(nblamed, 1);
+	CU_ASSERT_EQUAL(nquarantined, 1);
 	quar_free(q);
 }
 
-/* Verdicts that cross on their way come to the same everywhere, in any order. */
+/* Verdicts lead to the same state in whatever order they arrive. */
 static void verdicts_agree_in_any_order(void)
 {
 	static const uint32_t told[4][2] = {{1, 0}, {1, 1}, {2, 1}, {2, 2}};
-	struct fp f = print_of(1);
+	struct fp f = fp_of(1);
 	int order;
 
 	for (order = 0; order < 24; order++) {
@@ -307,11 +309,11 @@
 			for (k = 0; used >> k & 1 || pick--; k++) {
 			}
 			used |= 1 << k;
-			quar_hear(q, &f, told[k][0], told[k][1], 10 * S);
+			quar_merge(q, &f, told[k][0], told[k][1], 10 * S);
 		}
-		for (i = 0; i < 4; i++) quar_hear(other, &f, told[i][0], told[i][1], 10 * S);
+		for (i = 0; i < 4; i++) quar_merge(other, &f, told[i][0], told[i][1], 10 * S);
 		CU_ASSERT_EQUAL(quar_digest(q), quar_digest(other));
-		CU_ASSERT_EQUAL(ask(q, 1, 0, 11 * S), QUAR_FREE);
+		CU_ASSERT_EQUAL(ask(q, 1, 0, 11 * S), QUAR_ALLOW);
 		quar_free(other);
 		quar_free(q);
 	}
@@ -320,38 +322,38 @@
 static void a_verdict_that_is_no_news_changes_nothing(void)
 {
 	struct quar *q = begin();
-	struct fp f = print_of(1);
+	struct fp f = fp_of(1);
 
-	CU_ASSERT_EQUAL(quar_hear(q, &f, 0, 0, 10 * S), 0);
-	CU_ASSERT_EQUAL(quar_hear(q, &f, 1, 2, 10 * S), 0);
+	CU_ASSERT_EQUAL(quar_merge(q, &f, 0, 0, 10 * S), 0);
+	CU_ASSERT_EQUAL(quar_merge(q, &f, 1, 2, 10 * S), 0);
 	CU_ASSERT(quar_empty(q));
-	CU_ASSERT_EQUAL(quar_hear(q, &f, 1, 0, 10 * S), 1);
-	CU_ASSERT_EQUAL(quar_hear(q, &f, 1, 0, 30 * S), 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 69 * S), QUAR_BLOCKED);
+	CU_ASSERT_EQUAL(quar_merge(q, &f, 1, 0, 10 * S), 1);
+	CU_ASSERT_EQUAL(quar_merge(q, &f, 1, 0, 30 * S), 0);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 69 * S), QUAR_REFUSE);
 	CU_ASSERT_EQUAL(ask(q, 1, 0, 71 * S), QUAR_TRIAL);
 	quar_free(q);
 }
 
-/* A flood of others neither frees a blamed one nor takes more memory. */
+/* A flood of other suspects must neither evict a quarantined request nor use more memory. */
 static void the_least_harmful_are_forgotten_first(void)
 {
 	struct quar *q = begin();
-	struct fp f = print_of(1);
+	struct fp f = fp_of(1);
 	uint32_t i;
 
-	end_three(q, 1, 10 * S);
+	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
-	ran(q, 2, end_at(q, 14 * S), 100 * MS);
-	ran(q, 2, end_at(q, 15 * S), 100 * MS);
+	ran(q, 2, crash_at(q, 14 * S), 100 * MS);
+	ran(q, 2, crash_at(q, 15 * S), 100 * MS);
 	for (i = 0; i < 3 * QUAR_SUSPECTS; i++)
-		ran(q, 100 + i, end_at(q, 20 * S + i * MS), 100 * MS);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 30 * S), QUAR_BLOCKED);
+		ran(q, 100 + i, crash_at(q, 20 * S + i * MS), 100 * MS);
+	CU_ASSERT_EQUAL(ask(q, 1, 0, 30 * S), QUAR_REFUSE);
 	CU_ASSERT_PTR_NOT_NULL(quar_find(q, &f));
-	f = print_of(2);
+	f = fp_of(2);
 	CU_ASSERT_PTR_NOT_NULL(quar_find(q, &f));
-	f = print_of(100 + 3 * QUAR_SUSPECTS - 1);
+	f = fp_of(100 + 3 * QUAR_SUSPECTS - 1);
 	CU_ASSERT_PTR_NOT_NULL(quar_find(q, &f));
-	f = print_of(100);
+	f = fp_of(100);
 	CU_ASSERT_PTR_NULL(quar_find(q, &f));
 	quar_free(q);
 }
@@ -360,10 +362,10 @@
 {
 	struct quar *q = begin();
 
-	ran(q, 1, end_at(q, 10 * S), 100 * MS);
+	ran(q, 1, crash_at(q, 10 * S), 100 * MS);
 	judge(q, 700 * S);
 	CU_ASSERT(quar_empty(q));
-	end_three(q, 1, 700 * S);
+	crash_three(q, 1, 700 * S);
 	judge(q, 703 * S);
 	judge(q, 4000 * S);
 	CU_ASSERT(!quar_empty(q));
--- a/test/test_quar_days.c
+++ b/test/test_quar_days.c
@@ -1,24 +1,24 @@
-/* Which request ended the servers, played on whole days of a fleet: how often another one is
- * blamed, and how many servers the guilty one ends. */
+/* Simulates days of a fleet: how often the quarantine blames a wrong request, and how many
+ * servers the guilty one crashes. */
 #include "check.h"
 #include "quar_play.h"
 #include <glib.h>
 #include <string.h>
 
-static void sound(struct quar *q, uint32_t request, int64_t at_us)
+static void succeed(struct quar *q, uint32_t request, int64_t at_us)
 {
-	struct fp f = print_of(request);
+	struct fp f = fp_of(request);
 
-	quar_sound(q, &f, at_us);
+	quar_add_success(q, &f, at_us);
 }
 
 #define DAY_SERVERS 22
-#define DAY_RUNS 400 /* requests under way at once */
+#define DAY_RUNS 400 /* requests in flight at once */
 #define DAY_US (100 * S)
 #define STEP_US (10 * MS)
-#define BEGUN_US S         /* a run that has gone on for so long has come through */
-#define GUILTY_US (30 * S) /* from then on: others have ended servers before */
-#define HOT 1              /* one in four is this one */
+#define LONG_RUN_US S      /* a run that has lasted this long counts as completed */
+#define GUILTY_US (30 * S) /* when it first appears; other crashes may have happened before */
+#define COMMON 1           /* request id: one in four requests is this one */
 #define GUILTY 2
 
 struct day_run {
@@ -31,15 +31,15 @@
 	struct quar *q;
 	GRand *rand;
 	struct day_run run[DAY_RUNS];
-	int64_t sound_us; /* of the hot one */
+	int64_t success_us; /* last completed run of COMMON */
 	uint32_t next;
-	int ends, guilty_ends, wrong, right;
+	int crashes, guilty_crashes, wrong, right;
 };
 
 static void note_day(const struct quar_suspect *s, void *arg)
 {
 	struct day *d = arg;
-	struct fp f = print_of(GUILTY);
+	struct fp f = fp_of(GUILTY);
 
 	if (fp_equal(&s->fp, &f))
 		d->right++;
@@ -57,18 +57,19 @@
 
 static void new_request(struct day *d, struct day_run *r, int64_t now)
 {
-	r->request = g_rand_int_range(d->rand, 0, 4) ? ++d->next : HOT;
+	r->request = g_rand_int_range(d->rand, 0, 4) ? ++d->next : COMMON;
 	r->sends = 0;
 	send(d, r, now);
 }
 
-/* What ran there is sent elsewhere, twice by the instance and as often by its caller. */
-static void server_ends(struct day *d, int server, int64_t now)
+/* Requests that ran there are retried elsewhere: twice by the instance and as often by the
+ * caller. */
+static void server_crashes(struct day *d, int server, int64_t now)
 {
-	uint32_t e = end_at(d->q, now);
+	uint32_t e = crash_at(d->q, now);
 	int i;
 
-	d->ends++;
+	d->crashes++;
 	for (i = 0; i < DAY_RUNS; i++) {
 		struct day_run *r = &d->run[i];
 
@@ -81,48 +82,50 @@
 	}
 }
 
-static void turn_runs(struct day *d, int64_t now)
+static void step_runs(struct day *d, int64_t now)
 {
 	int i;
 
 	for (i = 0; i < DAY_RUNS; i++) {
 		struct day_run *r = &d->run[i];
 
-		if (now - r->began_us >= BEGUN_US && r->request == HOT) d->sound_us = now;
+		if (now - r->began_us >= LONG_RUN_US && r->request == COMMON)
+			d->success_us = now;
 		if (now < r->over_us) continue;
-		sound(d->q, r->request, now);
+		succeed(d->q, r->request, now);
 		new_request(d, r, now);
 	}
 }
 
 static int is_blocked(const struct quar *q, uint32_t request, int64_t now)
 {
-	struct fp f = print_of(request);
+	struct fp f = fp_of(request);
 
-	return quar_ask(q, &f, 0, now) == QUAR_BLOCKED;
+	return quar_check(q, &f, 0, now) == QUAR_REFUSE;
 }
 
-/* A server each 0.3 s, after a wait of up to 0.8 s behind others' prompts. */
-static void turn_guilty(struct day *d, int64_t now)
+/* The guilty request crashes a server each 0.3 s, after waiting up to 0.8 s behind other
+ * prompts. */
+static void step_guilty(struct day *d, int64_t now)
 {
 	uint32_t e;
 	int server = g_rand_int_range(d->rand, 0, DAY_SERVERS);
 
 	if (now < GUILTY_US || now % (300 * MS) || is_blocked(d->q, GUILTY, now)) return;
-	server_ends(d, server, now);
-	e = d->q->nends - 1;
+	server_crashes(d, server, now);
+	e = d->q->ncrashes - 1;
 	ran(d->q, GUILTY, e, g_rand_int_range(d->rand, 50, 800) * MS);
-	d->guilty_ends++;
+	d->guilty_crashes++;
 }
 
-/* share of the servers ends at once, each gap; each within some ms of the first. */
-static void turn_others(struct day *d, int64_t now, int at_once, int64_t gap_us)
+/* at_once servers crash each gap_us, within some ms of each other. */
+static void step_others(struct day *d, int64_t now, int at_once, int64_t gap_us)
 {
 	int i;
 
 	if (!gap_us || now % gap_us) return;
 	for (i = 0; i < at_once; i++)
-		server_ends(d, g_rand_int_range(d->rand, 0, DAY_SERVERS), now + i * 5 * MS);
+		server_crashes(d, g_rand_int_range(d->rand, 0, DAY_SERVERS), now + i * 5 * MS);
 }
 
 static struct day play(uint32_t seed, int at_once, int64_t gap_us, int guilty)
@@ -134,13 +137,13 @@
 
 	for (i = 0; i < DAY_RUNS; i++) new_request(&d, &d.run[i], 0);
 	for (now = S; now < DAY_US; now += STEP_US) {
-		turn_runs(&d, now);
-		turn_others(&d, now, at_once, gap_us);
-		if (guilty) turn_guilty(&d, now);
-		sound(d.q, HOT, d.sound_us); /* whoever has seen it tells */
-		if (d.q->nends != judged)
+		step_runs(&d, now);
+		step_others(&d, now, at_once, gap_us);
+		if (guilty) step_guilty(&d, now);
+		succeed(d.q, COMMON, d.success_us); /* other instances report it */
+		if (d.q->ncrashes != judged)
 			quar_judge(d.q, DAY_SERVERS, now + S, now, note_day, &d);
-		judged = d.q->nends;
+		judged = d.q->ncrashes;
 	}
 	g_rand_free(d.rand);
 	quar_free(d.q);
@@ -149,9 +152,9 @@
 
 #define DAYS 40
 
-struct tally { /* of all days */
-	int wrong, ends;
-	int most; /* servers that the guilty one ended in a day before it was blamed */
+struct tally { /* totals of all days */
+	int wrong, crashes;
+	int most; /* maximum of servers that GUILTY crashed in a day before its quarantine */
 };
 
 static struct tally play_days(int at_once, int64_t gap_us, int guilty)
@@ -163,28 +166,29 @@
 		struct day d = play(seed, at_once, gap_us, guilty);
 
 		t.wrong += d.wrong;
-		t.ends += d.ends;
-		t.most = MAX(t.most, d.guilty_ends - (d.right - 1)); /* but those of trials */
+		t.crashes += d.crashes;
+		t.most = MAX(t.most,
+			     d.guilty_crashes - (d.right - 1)); /* without its trial runs */
 	}
 	return t;
 }
 
-/* Four of 22 servers end at once each 3.3 s, all day. */
+/* Four of 22 servers crash at once each 3.3 s, all day. */
 static void nobody_is_blamed_while_a_sixth_ends_again_and_again(void)
 {
 	struct tally t = play_days(4, 3300 * MS, 0);
 
 	CU_ASSERT_EQUAL(t.wrong, 0);
-	CU_ASSERT(t.ends > 4000);
+	CU_ASSERT(t.crashes > 4000);
 }
 
-/* The same one at a time: nothing but how long they ran tells chance from cause. */
+/* Servers crash one at a time: only the duration of runs distinguishes cause from chance. */
 static void nobody_is_blamed_while_servers_end_one_by_one(void)
 {
 	struct tally t = play_days(1, 1000 * MS, 0);
 
 	CU_ASSERT_EQUAL(t.wrong, 0);
-	CU_ASSERT(t.ends > 3000);
+	CU_ASSERT(t.crashes > 3000);
 }
 
 static void the_guilty_one_is_found_among_all(void)
@@ -196,7 +200,8 @@
 	CU_ASSERT(t.most <= 4);
 }
 
-/* While a sixth ends again and again the evidence is weaker: some ends more. */
+/* While a sixth of the servers crashes repeatedly the evidence is weaker, so it takes some more
+ * crashes. */
 static void the_guilty_one_is_found_while_a_sixth_ends_too(void)
 {
 	struct tally t = play_days(4, 3300 * MS, 1);
