--- a/test/test_quota.c
+++ b/test/test_quota.c
@@ -1,5 +1,5 @@
-/* Shares of a server's limit, played: fleets of any size whose instances always have more to
- * send, start again, join, or are cut off from each other. */
+/* Simulates fleets that share a server's rate limit. Instances always have more to send; they
+ * restart, join, or are partitioned. No window may exceed the bound. */
 #include "check.h"
 #include <saddlehead/limit.h>
 #include <saddlehead/quota.h>
@@ -10,37 +10,40 @@
 #define INSTANCES_MAX 300
 #define TIMES_MAX 200000
 #define STEP_US 5000
-#define PLAY_US 40000000
-#define NAMED_US 1000000   /* when the server names its limit */
-#define TOLD_US 3000000    /* from then on the bound holds */
-#define HEAR_US 300000     /* all know within it what one was told */
-#define DEAD_US 1500000    /* silence after which one is taken for dead ... */
+#define SIM_US 40000000
+#define NAMED_US 1000000    /* when the server announces its limit */
+#define ENFORCED_US 3000000 /* time after the announcement from which the bound must hold */
+/* Maximum delay until all instances have received an announcement. */
+#define PROPAGATION_US 300000
+#define DEAD_US 1500000    /* silence after which an instance is considered dead ... */
 #define FORGET_US 30000000 /* ... and forgotten */
 #define WINDOW_US 4000000
-#define DELAY_US 20000 /* most that a request is under way longer than another one */
+#define DELAY_US 20000 /* maximum difference of network delays */
 
 struct instance {
 	struct quota_pace pace;
-	int64_t started_us, down_us; /* down_us: since when it is down; 0: it runs */
-	int side;                    /* of a cut */
+	int64_t started_us, down_us; /* down_us: when it went down; 0: it is up */
+	int side;                    /* of a network partition */
 };
 
-struct play {
+struct sim {
 	int n;
 	struct instance i[INSTANCES_MAX];
-	double limit, limit_before; /* in force, and until changed_us */
+	double limit, limit_before; /* limit: in force; limit_before: until changed_us */
 	int64_t changed_us, cut_us, healed_us;
 	/* Faults: */
-	int64_t restart_each_us; /* one instance each, in turn; 0: none */
-	int all_at_once;         /* it is all of them */
-	int64_t block_each_us;   /* of a large fleet those that callers come to die; 0: never */
+	int64_t restart_each_us; /* interval between restarts of one instance, in turn; 0: none
+				  */
+	int all_at_once;         /* all instances restart instead of one */
+	int64_t block_each_us; /* interval at which the active instances of a large fleet crash;
+				  0: never */
 	int64_t cut_from_us, cut_to_us;
-	int join_at_n; /* so many are there at first */
+	int join_at_n; /* number of instances at first; 0: all */
 	int64_t join_us;
 };
 
-static int64_t times[TIMES_MAX];
-static int ntimes;
+static int64_t send_times[TIMES_MAX];
+static int nsends;
 static uint32_t draw;
 
 static uint32_t drawn(uint32_t n)
@@ -49,36 +52,36 @@
 	return (uint32_t)((uint64_t)draw * n >> 32);
 }
 
-static int is_there(const struct play *p, int k, int64_t now)
+static int has_joined(const struct sim *p, int k, int64_t now)
 {
 	return !p->join_at_n || k < p->join_at_n || now >= p->join_us;
 }
 
-static int is_cut(const struct play *p, int64_t now)
+static int is_cut(const struct sim *p, int64_t now)
 {
 	return p->cut_to_us && now >= p->cut_from_us && now < p->cut_to_us;
 }
 
-/* Whether a takes b for one that callers come to. In a small fleet the dead keep their places
- * until they are forgotten. */
-static int counts(const struct play *p, int a, int b, int64_t now)
+/* Whether instance a counts b as an active one. In a small fleet dead instances keep their
+ * shares until they are forgotten. */
+static int is_sharer(const struct sim *p, int a, int b, int64_t now)
 {
 	int64_t silent_us = 0;
 
 	if (a == b) return 1;
-	if (!is_there(p, b, now - HEAR_US)) return 0;
+	if (!has_joined(p, b, now - PROPAGATION_US)) return 0;
 	if (p->i[b].down_us) silent_us = now - p->i[b].down_us;
 	if (is_cut(p, now) && p->i[a].side != p->i[b].side) silent_us = now - p->cut_from_us;
 	return silent_us < (p->n <= ROLES_ACTIVE ? FORGET_US : DEAD_US);
 }
 
-static uint32_t share_of(const struct play *p, int a, uint32_t sum, int64_t now)
+static uint32_t share_of(const struct sim *p, int a, uint32_t sum, int64_t now)
 {
 	uint32_t sharers = 0, rank = 0;
 	int b;
 
 	for (b = 0; b < p->n && sharers < ROLES_ACTIVE; b++) {
-		if (!counts(p, a, b, now)) continue;
+		if (!is_sharer(p, a, b, now)) continue;
 		sharers++;
 		rank += b < a;
 	}
@@ -87,31 +90,31 @@
 	return quota_share(sum, sharers, rank);
 }
 
-static void turn_instance(struct play *p, int k, int64_t now)
+static void step_instance(struct sim *p, int k, int64_t now)
 {
 	struct instance *i = &p->i[k];
-	int64_t learnt_us = NAMED_US + drawn(HEAR_US);
-	int old = now < p->changed_us + HEAR_US;
+	int64_t learnt_us = NAMED_US + drawn(PROPAGATION_US);
+	int old = now < p->changed_us + PROPAGATION_US;
 	struct quota_bound b = {QUOTA_LIMIT, {.limit = {old ? p->limit_before : p->limit}}};
 
-	if (i->down_us || !is_there(p, k, now) || now < learnt_us) return;
+	if (i->down_us || !has_joined(p, k, now) || now < learnt_us) return;
 	if (learnt_us < i->started_us) learnt_us = i->started_us;
 	quota_set_share(&i->pace, share_of(p, k, quota_sum(&b), now), learnt_us, now);
 	if (quota_wait_us(&i->pace, &b, now)) return;
 	quota_spend(&i->pace, &b, now);
-	if (ntimes < TIMES_MAX) times[ntimes++] = now + drawn(DELAY_US);
+	if (nsends < TIMES_MAX) send_times[nsends++] = now + drawn(DELAY_US);
 }
 
-#define DOWN_US 700000         /* a restart takes so long */
-#define BLOCK_DOWN_US 12000000 /* the same of those that callers came to */
+#define DOWN_US 700000         /* duration of a restart */
+#define BLOCK_DOWN_US 12000000 /* the same for active instances */
 
-static int64_t down_us(const struct play *p)
+static int64_t down_us(const struct sim *p)
 {
 	return p->block_each_us ? BLOCK_DOWN_US : DOWN_US;
 }
 
-/* The next ones after those that died last. */
-static void turn_blocks(struct play *p, int64_t now)
+/* The instances that follow those that crashed last go down. */
+static void step_blocks(struct sim *p, int64_t now)
 {
 	int k, first;
 
@@ -120,7 +123,7 @@
 	for (k = first; k < first + ROLES_ACTIVE && k < p->n; k++) p->i[k].down_us = now;
 }
 
-static void turn_restarts(struct play *p, int64_t now)
+static void step_restarts(struct sim *p, int64_t now)
 {
 	int k, next = p->restart_each_us ? (int)(now / p->restart_each_us) % p->n : -1;
 
@@ -136,20 +139,20 @@
 	}
 }
 
-static void run(struct play *p)
+static void run_sim(struct sim *p)
 {
 	int64_t now;
 	int k;
 
-	ntimes = 0;
+	nsends = 0;
 	for (k = 0; k < p->n; k++) {
 		p->i[k].side = k % 2;
 		if (p->join_at_n && k >= p->join_at_n) p->i[k].started_us = p->join_us;
 	}
-	for (now = 0; now < PLAY_US; now += STEP_US) {
-		turn_restarts(p, now);
-		turn_blocks(p, now);
-		for (k = 0; k < p->n; k++) turn_instance(p, k, now);
+	for (now = 0; now < SIM_US; now += STEP_US) {
+		step_restarts(p, now);
+		step_blocks(p, now);
+		for (k = 0; k < p->n; k++) step_instance(p, k, now);
 	}
 }
 
@@ -160,21 +163,21 @@
 	return x < y ? -1 : x > y;
 }
 
-/* Most that arrived in a window from then on. */
+/* Maximum number of requests that arrived within one window after from_us. */
 static int most_from(int64_t from_us)
 {
 	int i, first = 0, most = 0;
 
-	qsort(times, ntimes, sizeof *times, by_time);
-	for (i = 0; i < ntimes; i++) {
-		if (times[i] < from_us) first = i + 1;
-		while (first < i && times[i] - times[first] >= WINDOW_US) first++;
+	qsort(send_times, nsends, sizeof *send_times, by_time);
+	for (i = 0; i < nsends; i++) {
+		if (send_times[i] < from_us) first = i + 1;
+		while (first < i && send_times[i] - send_times[first] >= WINDOW_US) first++;
 		if (first <= i && i + 1 - first > most) most = i + 1 - first;
 	}
 	return most;
 }
 
-static int allowed(double limit)
+static int max_allowed(double limit)
 {
 	return (int)(1.5 * limit * WINDOW_US / 1000000 + 5);
 }
@@ -186,9 +189,9 @@
 	for (f = 0; f < sizeof fleets / sizeof *fleets; f++) \
 		for (l = 0; l < sizeof limits / sizeof *limits; l++)
 
-static struct play *play_of(int n, double limit)
+static struct sim *sim_of(int n, double limit)
 {
-	static struct play p;
+	static struct sim p;
 
 	memset(&p, 0, sizeof p);
 	p.n = n;
@@ -196,22 +199,23 @@
 	return &p;
 }
 
-static int stays_below(struct play *p, double limit)
+static int stays_below(struct sim *p, double limit)
 {
 	int most;
 
-	run(p);
-	most = most_from(NAMED_US + TOLD_US);
-	if (most <= allowed(limit)) return 1;
+	run_sim(p);
+	most = most_from(NAMED_US + ENFORCED_US);
+	if (most <= max_allowed(limit)) return 1;
 	fprintf(stderr, "%d instances, limit %.1f: %d of %d\n", p->n, limit, most,
-		allowed(limit));
+		max_allowed(limit));
 	return 0;
 }
 
-/* Half of it at least, whole requests aside: some of them have nothing to send. */
+/* At least half of the limit is used, except for rounding to whole requests: some instances
+ * have nothing to send. */
 static int gets_its_share(double limit)
 {
-	double each = (double)ntimes * WINDOW_US / (PLAY_US - NAMED_US);
+	double each = (double)nsends * WINDOW_US / (SIM_US - NAMED_US);
 
 	return each >= limit * WINDOW_US / 1000000 * .7 - 1;
 }
@@ -222,7 +226,7 @@
 
 	EACH_FLEET_AND_LIMIT(f, l)
 	{
-		CU_ASSERT(stays_below(play_of(fleets[f], limits[l]), limits[l]));
+		CU_ASSERT(stays_below(sim_of(fleets[f], limits[l]), limits[l]));
 		CU_ASSERT(gets_its_share(limits[l]));
 	}
 }
@@ -233,11 +237,11 @@
 
 	EACH_FLEET_AND_LIMIT(f, l)
 	{
-		struct play *p = play_of(fleets[f], limits[l]);
+		struct sim *p = sim_of(fleets[f], limits[l]);
 
 		p->restart_each_us = 500000;
 		CU_ASSERT(stays_below(p, limits[l]));
-		p = play_of(fleets[f], limits[l]);
+		p = sim_of(fleets[f], limits[l]);
 		p->restart_each_us = 1500000;
 		p->all_at_once = 1;
 		CU_ASSERT(stays_below(p, limits[l]));
@@ -250,14 +254,14 @@
 
 	EACH_FLEET_AND_LIMIT(f, l)
 	{
-		struct play *p = play_of(fleets[f], limits[l]);
+		struct sim *p = sim_of(fleets[f], limits[l]);
 
 		p->block_each_us = 1600000;
 		CU_ASSERT(stays_below(p, limits[l]));
 	}
 }
 
-/* What has to go there all the same, as streams that go on from memory. */
+/* Sends that can't be delayed, such as streams that resume from memory. */
 static void what_is_beyond_the_share_is_made_up_for(void)
 {
 	struct quota_bound b = {QUOTA_LIMIT, {.limit = {1}}};
@@ -280,7 +284,7 @@
 
 	EACH_FLEET_AND_LIMIT(f, l)
 	{
-		struct play *p = play_of(fleets[f], limits[l]);
+		struct sim *p = sim_of(fleets[f], limits[l]);
 
 		p->join_at_n = (p->n + 1) / 2;
 		p->join_us = 12000000;
@@ -288,14 +292,14 @@
 	}
 }
 
-/* Each side of a cut takes itself for all there is. */
+/* Each side of a partition considers itself the whole fleet. */
 static void sides_of_a_cut_stay_below(void)
 {
 	size_t f, l;
 
 	EACH_FLEET_AND_LIMIT(f, l)
 	{
-		struct play *p = play_of(fleets[f], limits[l]);
+		struct sim *p = sim_of(fleets[f], limits[l]);
 
 		p->cut_from_us = 10000000;
 		p->cut_to_us = 25000000;
@@ -303,73 +307,73 @@
 	}
 }
 
-/* The larger of both may be in the window. */
+/* A window that contains the change may hold the larger limit. */
 static void a_limit_that_changes_is_kept(void)
 {
 	size_t f;
 
 	for (f = 0; f < sizeof fleets / sizeof *fleets; f++) {
-		struct play *p = play_of(fleets[f], 1);
+		struct sim *p = sim_of(fleets[f], 1);
 
 		p->limit_before = 8;
 		p->changed_us = 15000000;
-		run(p);
-		CU_ASSERT(most_from(NAMED_US + TOLD_US) <= allowed(8));
-		CU_ASSERT(most_from(p->changed_us + WINDOW_US) <= allowed(1));
+		run_sim(p);
+		CU_ASSERT(most_from(NAMED_US + ENFORCED_US) <= max_allowed(8));
+		CU_ASSERT(most_from(p->changed_us + WINDOW_US) <= max_allowed(1));
 	}
 }
 
-/* ---- which word counts ---- */
+/* ---- which announcement is in force ---- */
 
-static const struct limit_word three = {3, 100, 200};
+static const struct limit_report three = {3, 100, 200};
 
 static void an_older_answer_lifts_no_limit(void)
 {
-	struct limit_word k = three, before = {LIMIT_NONE, 20, 90},
-			  crossed = {LIMIT_NONE, 150, 250}, after = {LIMIT_NONE, 200, 250};
+	struct limit_report k = three, before = {LIMIT_NONE, 20, 90},
+			    crossed = {LIMIT_NONE, 150, 250}, after = {LIMIT_NONE, 200, 250};
 
-	CU_ASSERT_EQUAL(limit_take(&k, &before), 0);
-	CU_ASSERT_EQUAL(limit_take(&k, &crossed), 0);
+	CU_ASSERT_EQUAL(limit_update(&k, &before), 0);
+	CU_ASSERT_EQUAL(limit_update(&k, &crossed), 0);
 	CU_ASSERT_EQUAL(k.per_s, 3);
-	CU_ASSERT_EQUAL(limit_take(&k, &after), 1);
+	CU_ASSERT_EQUAL(limit_update(&k, &after), 1);
 	CU_ASSERT_EQUAL(k.per_s, LIMIT_NONE);
 }
 
 static void of_two_limits_that_cross_the_stricter_counts(void)
 {
-	struct limit_word k = three, more = {6, 150, 250}, less = {2, 120, 220},
-			  old = {1, 10, 100}, later = {6, 250, 300};
+	struct limit_report k = three, more = {6, 150, 250}, less = {2, 120, 220},
+			    old = {1, 10, 100}, later = {6, 250, 300};
 
-	CU_ASSERT_EQUAL(limit_take(&k, &more), 0);
-	CU_ASSERT_EQUAL(limit_take(&k, &less), 1);
-	CU_ASSERT_EQUAL(limit_take(&k, &old), 0);
-	CU_ASSERT_EQUAL(limit_take(&k, &later), 1);
+	CU_ASSERT_EQUAL(limit_update(&k, &more), 0);
+	CU_ASSERT_EQUAL(limit_update(&k, &less), 1);
+	CU_ASSERT_EQUAL(limit_update(&k, &old), 0);
+	CU_ASSERT_EQUAL(limit_update(&k, &later), 1);
 	CU_ASSERT_EQUAL(k.per_s, 6);
 }
 
 static void the_first_word_counts(void)
 {
-	struct limit_word k = {0}, none = {LIMIT_NONE, 10, 20};
+	struct limit_report k = {0}, none = {LIMIT_NONE, 10, 20};
 
-	CU_ASSERT_EQUAL(limit_take(&k, &none), 0);
+	CU_ASSERT_EQUAL(limit_update(&k, &none), 0);
 	CU_ASSERT_EQUAL(k.per_s, LIMIT_NONE);
-	CU_ASSERT_EQUAL(limit_take(&k, &three), 1);
+	CU_ASSERT_EQUAL(limit_update(&k, &three), 1);
 }
 
-/* ---- turns ---- */
+/* ---- send slots ---- */
 
 static void turns_come_in_order(void)
 {
-	struct quota_site s[] = {{300, 1000}, {100, 500}, {QUOTA_NEVER, 1}}, t[3];
+	struct quota_server s[] = {{300, 1000}, {100, 500}, {QUOTA_NEVER, 1}}, t[3];
 	static const int64_t want[] = {100, 300, 600, 1100, 1300};
 	uint32_t i;
 
 	for (i = 0; i < sizeof want / sizeof *want; i++) {
 		memcpy(t, s, sizeof s);
-		CU_ASSERT_EQUAL(quota_turn_us(t, 3, i), want[i]);
+		CU_ASSERT_EQUAL(quota_slot_us(t, 3, i), want[i]);
 	}
-	CU_ASSERT_EQUAL(quota_turn_us(&s[2], 1, 0), QUOTA_NEVER);
-	CU_ASSERT_EQUAL(quota_turn_us(s, 0, 0), QUOTA_NEVER);
+	CU_ASSERT_EQUAL(quota_slot_us(&s[2], 1, 0), QUOTA_NEVER);
+	CU_ASSERT_EQUAL(quota_slot_us(s, 0, 0), QUOTA_NEVER);
 }
 
 static const struct check list[] = {
--- a/test/test_rollout.c
+++ b/test/test_rollout.c
@@ -1,5 +1,6 @@
-/* The judge of new versions and the bound on canaries, played: fleets of any size, versions
- * that are good or bad in each way, with the noise that engines have. */
+/* Simulates rollouts in fleets of any size, with versions that are good or bad in different
+ * ways and the noise of real engines: verdicts must be right and canaries within their bound.
+ */
 #include "check.h"
 #include <math.h>
 #include <saddlehead/rollout.h>
@@ -18,35 +19,35 @@
 
 static uint32_t seed;
 
-static double drawn(void)
+static double draw_unit(void)
 {
 	seed = seed * 1664525u + 1013904223u;
 	return (double)(seed >> 8) / (1 << 24);
 }
 
-/* Log-normal: most answers take about as long, some several times. */
-static int64_t time_of(double mean_us, double spread)
+/* Lognormal: most responses take about the same time, some several times as long. */
+static int64_t draw_time(double mean_us, double spread)
 {
 	double n = 0;
 	int i;
 
-	for (i = 0; i < 12; i++) n += drawn();
+	for (i = 0; i < 12; i++) n += draw_unit();
 	return (int64_t)(mean_us * exp(spread * (n - 6)));
 }
 
-/* What is wrong with the new version. */
+/* Defects of the new version. */
 struct version {
 	const char *name;
 	int bad;
 	double fails; /* share of its answers */
-	double slow;  /* share of its answers that take slow_x as long */
+	double slow;  /* share of its answers that take slow_x times as long */
 	double slow_x;
-	int64_t from_us; /* only after it */
-	int route;       /* only there, counted from 1; 0: on all */
-	double load;  /* share of the time in which its servers have enough to do to show it; 0:
-			 all */
-	int shifted;  /* only once all requests go there */
-	double noise; /* share of all answers, of both versions, that fail */
+	int64_t from_us; /* only from this time on */
+	int route;       /* only on this route, counted from 1; 0: on all */
+	double load;     /* share of the time in which its servers have enough load to show the
+			    defect; 0: all */
+	int shifted;     /* only once all requests go there */
+	double noise;    /* share of all answers, of both versions, that fail */
 };
 
 static const struct version versions[] = {
@@ -78,7 +79,7 @@
 	 .noise = .004},
 };
 
-struct play {
+struct sim {
 	const struct version *v;
 	int n;
 	struct rollout_use use[INSTANCES_MAX];
@@ -89,36 +90,37 @@
 	int64_t judged_us;
 };
 
-/* Whether what is wrong with it shows now. */
-static int shows(const struct play *p, int route, int64_t now)
+/* Whether the defect shows now. */
+static int is_fault_active(const struct sim *p, int route, int64_t now)
 {
 	const struct version *v = p->v;
 
 	if (now < v->from_us || (v->route && v->route != route + 1)) return 0;
 	if (v->shifted && p->stage != ROLLOUT_SHIFT) return 0;
-	return !v->load || drawn() < v->load;
+	return !v->load || draw_unit() < v->load;
 }
 
-static void answer(struct play *p, enum rollout_side side, int64_t now)
+static void answer(struct sim *p, enum rollout_side side, int64_t now)
 {
 	static const double mean_us[ROUTES] = {400000, 250000};
-	int route = drawn() < .34 ? 0 : 1;
-	int64_t took = time_of(mean_us[route], .4);
-	int bad = drawn() < p->v->noise;
+	int route = draw_unit() < .34 ? 0 : 1;
+	int64_t took = draw_time(mean_us[route], .4);
+	int bad = draw_unit() < p->v->noise;
 
-	if (side == ROLLOUT_NEW && shows(p, route, now)) {
-		bad |= drawn() < p->v->fails;
-		if (drawn() < p->v->slow) took = (int64_t)(took * p->v->slow_x);
+	if (side == ROLLOUT_NEW && is_fault_active(p, route, now)) {
+		bad |= draw_unit() < p->v->fails;
+		if (draw_unit() < p->v->slow) took = (int64_t)(took * p->v->slow_x);
 	}
-	rollout_note(&p->tally, 1 + route, side, bad, took);
+	rollout_record(&p->tally, 1 + route, side, bad, took);
 }
 
-/* Callers come to a few of a large fleet, and each has a thirty-second of the slack. */
-static void request(struct play *p, int64_t now)
+/* Only the active instances of a large fleet receive requests, and each has a thirty-second of
+ * the slack. */
+static void request(struct sim *p, int64_t now)
 {
 	int active = p->n < ACTIVE ? p->n : ACTIVE;
 	double part = p->n <= ACTIVE ? 1.0 / p->n : 1.0 / (2 * ACTIVE);
-	struct rollout_use *u = &p->use[(int)(drawn() * active)];
+	struct rollout_use *u = &p->use[(int)(draw_unit() * active)];
 	int new = p->stage == ROLLOUT_SHIFT;
 
 	u->requests++;
@@ -129,7 +131,7 @@
 	answer(p, new ? ROLLOUT_NEW : ROLLOUT_OLD, now);
 }
 
-static void step(struct play *p, int64_t now)
+static void step(struct sim *p, int64_t now)
 {
 	struct rollout_state s = {.stage = p->stage,
 				  .age_us = now,
@@ -142,7 +144,7 @@
 	if (p->stage == ROLLOUT_SHIFT && !p->shift_us) p->shift_us = now;
 }
 
-static void play(struct play *p, const struct version *v, int n)
+static void sim(struct sim *p, const struct version *v, int n)
 {
 	int64_t now;
 	int k;
@@ -161,32 +163,32 @@
 
 static void versions_are_judged_rightly_at_each_size(void)
 {
-	static struct play p;
+	static struct sim p;
 	size_t f, v;
 	int s;
 
 	for (f = 0; f < sizeof fleets / sizeof *fleets; f++) {
 		for (v = 0; v < sizeof versions / sizeof *versions; v++) {
-			int wrong = 0, over = 0;
+			int wrong = 0, exceeded = 0;
 
 			for (s = 0; s < SEEDS; s++) {
 				seed = (uint32_t)s * 7919 + 1;
-				play(&p, &versions[v], fleets[f]);
+				sim(&p, &versions[v], fleets[f]);
 				wrong += p.stage != (versions[v].bad ? ROLLOUT_ROLLED_BACK
 								     : ROLLOUT_COMPLETED);
-				over += versions[v].bad &&
-					p.exposed > SHARE * p.requests + SLACK;
+				exceeded += versions[v].bad &&
+					    p.exposed > SHARE * p.requests + SLACK;
 			}
-			if (wrong || over)
+			if (wrong || exceeded)
 				fprintf(stderr, "%d instances, %s: %d wrong, %d over of %d\n",
-					fleets[f], versions[v].name, wrong, over, SEEDS);
+					fleets[f], versions[v].name, wrong, exceeded, SEEDS);
 			CU_ASSERT_EQUAL(wrong, 0);
-			CU_ASSERT_EQUAL(over, 0);
+			CU_ASSERT_EQUAL(exceeded, 0);
 		}
 	}
 }
 
-/* Also of all that instances do which start again and know nothing of their earlier lives. */
+/* Includes instances that restart and have lost their earlier counts. */
 static void canaries_stay_within_the_bound(void)
 {
 	static struct rollout_use use[INSTANCES_MAX];
@@ -201,7 +203,7 @@
 		for (i = 0; i < 20000; i++) {
 			double slack = starts ? 0 : SLACK / (double)n;
 
-			k = (int)(drawn() * n);
+			k = (int)(draw_unit() * n);
 			use[k].requests++;
 			requests++;
 			if (rollout_may_expose(&use[k], SHARE, slack)) {
@@ -230,12 +232,13 @@
 	CU_ASSERT_EQUAL(rollout_next(&s), ROLLOUT_ROLLED_BACK);
 	s.stage = ROLLOUT_CANARY;
 	s.age_us = 1;
-	CU_ASSERT_EQUAL(rollout_next(&s), ROLLOUT_CANARY); /* some turn bad late */
+	CU_ASSERT_EQUAL(rollout_next(&s), ROLLOUT_CANARY); /* some versions fail late */
 	s.age_us = FOR_US;
 	CU_ASSERT_EQUAL(rollout_next(&s), ROLLOUT_SHIFT);
 }
 
-/* What runs there ends with its servers: it is waited for, up to the order's time. */
+/* Requests on the old version's servers end with them, so these are kept while there are any,
+ * up to the order's time. */
 static void the_old_version_is_waited_for(void)
 {
 	struct rollout_state s = {.stage = ROLLOUT_SHIFT,
@@ -253,13 +256,13 @@
 	CU_ASSERT_EQUAL(rollout_next(&s), ROLLOUT_COMPLETED);
 }
 
-/* More routes than are told apart. */
+/* More routes than are counted separately. */
 static void counts_of_many_routes_are_added_up(void)
 {
 	struct rollout_tally a = {0}, sum = {0};
 	uint32_t k, all = 0;
 
-	for (k = 1; k <= 30; k++) rollout_note(&a, k, ROLLOUT_OLD, 0, 1000);
+	for (k = 1; k <= 30; k++) rollout_record(&a, k, ROLLOUT_OLD, 0, 1000);
 	rollout_add(&sum, &a);
 	rollout_add(&sum, &a);
 	CU_ASSERT_EQUAL(sum.n, ROLLOUT_ROUTES);
--- a/test/test_share.c
+++ b/test/test_share.c
@@ -1,4 +1,5 @@
-/* Shares of a ceiling: whatever is lost or late, those that have not lapsed stay under it. */
+/* Tests of shares of a ceiling: with any loss or delay of messages, shares that have not lapsed
+ * stay within the ceiling. */
 #include "check.h"
 #include "share.h"
 #include <stdlib.h>
@@ -9,24 +10,24 @@
 
 static struct share_home home;
 
-static uint32_t ask(uint64_t member, uint32_t held, uint32_t running, uint32_t demand,
-		    int64_t now)
+static uint32_t request(uint64_t member, uint32_t held, uint32_t running, uint32_t demand,
+			int64_t now)
 {
-	struct share_ask a = {.held = held, .running = running, .demand = demand};
+	struct share_request a = {.held = held, .running = running, .demand = demand};
 
-	return share_answer(&home, member, &a, CEILING, now);
+	return share_grant(&home, member, &a, CEILING, now);
 }
 
-static void fresh(void)
+static void reset_home(void)
 {
 	memset(&home, 0, sizeof home);
-	home.born_us = -SHARE_GRACE_US;
+	home.created_us = -SHARE_GRACE_US;
 }
 
 static void one_holder_gets_it_all(void)
 {
-	fresh();
-	CU_ASSERT_EQUAL(ask(1, 0, 0, 1, 0), CEILING);
+	reset_home();
+	CU_ASSERT_EQUAL(request(1, 0, 0, 1, 0), CEILING);
 }
 
 static void two_that_want_more_end_up_with_halves(void)
@@ -34,11 +35,11 @@
 	uint32_t a = 0, b = 0;
 	int64_t t;
 
-	fresh();
+	reset_home();
 	for (t = 0; t < 10; t++) {
-		a = ask(1, a, a, 100, t * 1000000);
-		b = ask(2, b, b, 100, t * 1000000);
-		/* What runs over the share ends by and by. */
+		a = request(1, a, a, 100, t * 1000000);
+		b = request(2, b, b, 100, t * 1000000);
+		/* Requests above a lowered share end over time. */
 		CU_ASSERT(a + b <= CEILING);
 	}
 	CU_ASSERT_EQUAL(a, CEILING / 2);
@@ -50,10 +51,10 @@
 	uint32_t a = 0, b = 0;
 	int64_t t;
 
-	fresh();
+	reset_home();
 	for (t = 0; t < 5; t++) {
-		a = ask(1, a, 0, 3, t * 1000000);
-		b = ask(2, b, 0, 100, t * 1000000);
+		a = request(1, a, 0, 3, t * 1000000);
+		b = request(2, b, 0, 100, t * 1000000);
 	}
 	CU_ASSERT_EQUAL(a, 3);
 	CU_ASSERT_EQUAL(b, 17);
@@ -61,18 +62,18 @@
 
 static void a_lapsed_share_is_given_again(void)
 {
-	fresh();
-	CU_ASSERT_EQUAL(ask(1, 0, 0, 100, 0), CEILING);
-	CU_ASSERT_EQUAL(ask(2, 0, 0, 100, 1000000), 0);
-	CU_ASSERT_EQUAL(ask(2, 0, 0, 100, SHARE_TTL_HOME_US), CEILING);
+	reset_home();
+	CU_ASSERT_EQUAL(request(1, 0, 0, 100, 0), CEILING);
+	CU_ASSERT_EQUAL(request(2, 0, 0, 100, 1000000), 0);
+	CU_ASSERT_EQUAL(request(2, 0, 0, 100, SHARE_TTL_HOME_US), CEILING);
 }
 
 static void a_new_home_confirms_and_gives_nothing(void)
 {
 	memset(&home, 0, sizeof home);
-	CU_ASSERT_EQUAL(ask(1, 6, 6, 100, 0), 6);
-	CU_ASSERT_EQUAL(ask(2, 0, 0, 100, 100000), 0);
-	CU_ASSERT_EQUAL(ask(2, 0, 0, 100, SHARE_GRACE_US), 10);
+	CU_ASSERT_EQUAL(request(1, 6, 6, 100, 0), 6);
+	CU_ASSERT_EQUAL(request(2, 0, 0, 100, 100000), 0);
+	CU_ASSERT_EQUAL(request(2, 0, 0, 100, SHARE_GRACE_US), 10);
 }
 
 struct holder {
@@ -85,7 +86,8 @@
 	return now < x->until ? x->share : 0;
 }
 
-/* Asks and answers are lost and late at random; grants stay within what each holds. */
+/* Requests and responses are lost or delayed at random; each holder runs no more than its
+ * share. */
 static void never_over_the_ceiling(void)
 {
 	struct holder x[HOLDERS];
@@ -94,7 +96,7 @@
 	int i, k;
 
 	srand(3);
-	fresh();
+	reset_home();
 	memset(x, 0, sizeof x);
 	for (i = 0; i < 200000; i++) {
 		struct holder *h = &x[rand() % HOLDERS];
@@ -105,12 +107,12 @@
 			int64_t asked = now;
 			uint32_t got;
 
-			if (rand() % 4 == 0) continue; /* the ask is lost */
+			if (rand() % 4 == 0) continue; /* the request is lost */
 			now += rand() % 2000;
-			got = ask((uint64_t)(h - x) + 1, usable(h, asked), h->running,
-				  h->running + h->waiting, now);
+			got = request((uint64_t)(h - x) + 1, usable(h, asked), h->running,
+				      h->running + h->waiting, now);
 			if (rand() % 4 == 0)
-				continue; /* the answer is lost: the old share goes on */
+				continue; /* the response is lost: the old share stays valid */
 			h->share = got;
 			h->until = asked + SHARE_TTL_HOLDER_US;
 		}
