--- a/bench/bench_place.c
+++ b/bench/bench_place.c
@@ -74,7 +74,7 @@
 
 	printf("# engines leave, memory binds; moves counted %d, waits %d: of %d long streams "
 	       "%d late; %d runs put off, %d refused\n",
-	       counts_inbound, waits, r.longs, r.late, r.preempted, r.refused);
+	       counts_inbound, waits, r.long_streams, r.late, r.preempted, r.refused);
 }
 
 /* ---- selection among the servers of a large fleet ---- */
--- a/include/saddlehead/length.h
+++ b/include/saddlehead/length.h
@@ -9,7 +9,7 @@
 	double n, mean, var;     /* of ln(tokens) */
 	double hint_n, hint_var; /* of ln(hint / tokens) */
 	double token_us;         /* interval between two tokens; 0: no sample yet */
-	double start_us;         /* time from sending to the first token; 0: no sample yet */
+	double first_token_us;   /* time from sending to the first token; 0: no sample yet */
 	double wait_factor; /* ratio of actual to predicted waits for memory; 0: no sample yet
 			     */
 	uint32_t answers;   /* responses that came in time, streamed or not */
@@ -26,7 +26,7 @@
 /* Returns the prediction corrected by the recent ratio of actual to predicted waits. */
 int64_t length_corrected_wait_us(const struct length_stats *s, int64_t forecast_us);
 /* Records the time from sending a generation to its first token. */
-void length_observe_start(struct length_stats *s, int64_t took_us);
+void length_observe_first_token(struct length_stats *s, int64_t took_us);
 /* Expected number of tokens still to come after those generated so far. max_tokens: the
  * caller's limit, 0: none. */
 uint32_t length_remaining(const struct length_stats *s, uint32_t hint, uint32_t max_tokens,
--- a/src/core/length.c
+++ b/src/core/length.c
@@ -43,9 +43,9 @@
 	*mean = *mean > 0 ? *mean + (newest - *mean) * MEAN_WEIGHT : newest;
 }
 
-void length_observe_start(struct length_stats *s, int64_t took_us)
+void length_observe_first_token(struct length_stats *s, int64_t took_us)
 {
-	update_mean(&s->start_us, (double)took_us);
+	update_mean(&s->first_token_us, (double)took_us);
 }
 
 void length_observe_wait(struct length_stats *s, int64_t waited_us, int64_t forecast_us)
--- a/src/core/quar.c
+++ b/src/core/quar.c
@@ -133,7 +133,7 @@
 
 	if (!e) return 0;
 	s = quar_suspect_of(q, fp);
-	if (quar_is_quarantined(s)) e->explained = 1;
+	if (quar_is_quarantined(s)) e->attributed = 1;
 	for (i = 0; i < s->nruns; i++) {
 		if (s->run[i].crash != crash) continue;
 		s->run[i].ran_us = MIN(s->run[i].ran_us, ran_us);
@@ -143,21 +143,21 @@
 	return 1;
 }
 
-void quar_explain(struct quar *q, const struct quar_suspect *s, int explained)
+void quar_attribute(struct quar *q, const struct quar_suspect *s, int attributed)
 {
 	int i;
 
 	for (i = 0; i < s->nruns; i++) {
 		struct quar_crash *e = (struct quar_crash *)quar_crash_of(q, s->run[i].crash);
 
-		if (e) e->explained = explained;
+		if (e) e->attributed = attributed;
 	}
 }
 
 /* Ends the quarantine; the crashes under it are not attributed to it any more. */
 static void release(struct quar *q, struct quar_suspect *s, uint32_t cleared)
 {
-	quar_explain(q, s, 0);
+	quar_attribute(q, s, 0);
 	s->cleared = cleared;
 	s->nruns = 0;
 }
@@ -197,7 +197,7 @@
 	if (round > s->round) s->quarantined_us = quarantined_us;
 	s->round = MAX(s->round, round);
 	if (cleared > s->cleared) release(q, s, cleared);
-	if (quar_is_quarantined(s)) quar_explain(q, s, 1);
+	if (quar_is_quarantined(s)) quar_attribute(q, s, 1);
 	return 1;
 }
 
--- a/src/core/quar_judge.c
+++ b/src/core/quar_judge.c
@@ -106,7 +106,7 @@
 {
 	const struct quar_crash *e = quar_crash_of(q, r->crash);
 
-	if (!e || (e->explained && !quar_is_quarantined(s))) return 0;
+	if (!e || (e->attributed && !quar_is_quarantined(s))) return 0;
 	if (s->success_us && r->at_us <= s->success_us + QUAR_SUCCESS_US) return 0;
 	return may_be_cause(q, s, r);
 }
@@ -132,7 +132,7 @@
 		int64_t ago_us = at_us - e->at_us;
 
 		if (ago_us > RATE_WINDOW_US + LATE_US) break;
-		if (e->explained || run_on(s, i)) continue;
+		if (e->attributed || run_on(s, i)) continue;
 		if (ago_us < RATE_WINDOW_US && ago_us >= -SIMULTANEOUS_US) n++;
 	}
 	return 1 / SERVER_MTBF_US + n / ((double)RATE_WINDOW_US * MAX(servers, 1));
@@ -227,7 +227,7 @@
 {
 	s->round++;
 	s->quarantined_us = now_us;
-	quar_explain(q, s, 1);
+	quar_attribute(q, s, 1);
 }
 
 /* Whether the trial run that it was allowed crashed a server. */
--- a/src/internal/quar.h
+++ b/src/internal/quar.h
@@ -39,7 +39,7 @@
 	char server[QUAR_NAME], seen_by[QUAR_NAME];
 	int64_t incarnation; /* incarnation of the server; 0: not tracked */
 	int64_t at_us;       /* when it was first reported */
-	int explained;       /* a quarantined request ran there */
+	int attributed;      /* a quarantined request ran there */
 };
 
 struct quar_run {
@@ -125,5 +125,5 @@
 struct quar_suspect *quar_suspect_of(struct quar *q, const struct fp *fp);
 /* Sets whether the crashes under it are attributed to it, so that they don't count against
  * others. */
-void quar_explain(struct quar *q, const struct quar_suspect *s, int explained);
+void quar_attribute(struct quar *q, const struct quar_suspect *s, int attributed);
 #endif
--- a/src/relay/rq_answer.c
+++ b/src/relay/rq_answer.c
@@ -133,7 +133,8 @@
 	}
 	if (!l->first_us) {
 		l->first_us = r->event_us;
-		if (l->reading) length_observe_start(rq_lengths(r), l->first_us - l->sent_us);
+		if (l->reading)
+			length_observe_first_token(rq_lengths(r), l->first_us - l->sent_us);
 		leg_read(l);
 		leg_recount(l);
 		be_succeeded(l->be, 0);
--- a/src/relay/rq_wait.c
+++ b/src/relay/rq_wait.c
@@ -37,7 +37,7 @@
 static int in_time(const struct rq *r, int64_t wait_us)
 {
 	int64_t left_us = r->began_us + r->route->objective_us - clock_us();
-	double start_us = rq_lengths(r)->start_us * START_TIMES;
+	double start_us = rq_lengths(r)->first_token_us * START_TIMES;
 
 	if (wait_us == FORECAST_NEVER) return 0;
 	return wait_us * WAIT_TIMES + (int64_t)start_us <= left_us;
--- a/test/crowding.c
+++ b/test/crowding.c
@@ -38,7 +38,7 @@
 	int n, back_ms; /* back_ms: gone until then */
 };
 
-struct replay {
+struct sim {
 	const struct crowding_load *l;
 	struct crowding_result result;
 	struct engine engine[ENGINES_MAX];
@@ -47,7 +47,7 @@
 	unsigned draw;
 };
 
-static double draw_unit(struct replay *r)
+static double draw_unit(struct sim *r)
 {
 	r->draw = r->draw * 1664525u + 1013904223u;
 	return ((r->draw >> 8) + 1) / 16777217.0;
@@ -58,7 +58,7 @@
 	return g->is_long ? LONG_OBJECTIVE_MS : SHORT_OBJECTIVE_MS;
 }
 
-static void add_to_view(struct place_server *s, const struct run *g, const struct replay *r)
+static void add_to_view(struct place_server *s, const struct run *g, const struct sim *r)
 {
 	double left = g->tokens - g->made;
 
@@ -72,7 +72,7 @@
 	s->held += (uint32_t)(g->prompt + g->made + (left > 0 ? left : 0));
 }
 
-static void build_view(const struct replay *r, struct place_server *s)
+static void build_view(const struct sim *r, struct place_server *s)
 {
 	int i, k;
 
@@ -95,7 +95,7 @@
 }
 
 /* Returns 1 if it was sent. */
-static int try_to_send(struct replay *r, const struct run *g)
+static int try_to_send(struct sim *r, const struct run *g)
 {
 	struct place_server s[ENGINES_MAX], seen;
 	struct place_job j = job_of(g);
@@ -114,7 +114,7 @@
 	return 1;
 }
 
-static void arrive(struct replay *r, int is_long)
+static void arrive(struct sim *r, int is_long)
 {
 	struct run g = {.is_long = is_long, .arrived_ms = r->now_ms};
 	double mean = is_long ? LONG_TOKENS : SHORT_TOKENS;
@@ -125,7 +125,7 @@
 }
 
 /* Short requests are more urgent. */
-static void send_waiting(struct replay *r)
+static void send_waiting(struct sim *r)
 {
 	int want, i;
 
@@ -147,7 +147,7 @@
 	}
 }
 
-static void prefill(struct engine *e, const struct replay *r)
+static void prefill(struct engine *e, const struct sim *r)
 {
 	double budget = PREFILL_ALONE;
 	int i;
@@ -164,15 +164,15 @@
 	}
 }
 
-static void record_first_token(struct replay *r, struct run *g)
+static void record_first_token(struct sim *r, struct run *g)
 {
 	if (!g->is_long || g->late_counted) return;
 	g->late_counted = 1;
-	r->result.longs++;
+	r->result.long_streams++;
 	r->result.late += r->now_ms - g->arrived_ms > LONG_OBJECTIVE_MS;
 }
 
-static void make_tokens(struct engine *e, struct replay *r)
+static void make_tokens(struct engine *e, struct sim *r)
 {
 	int i;
 
@@ -187,7 +187,7 @@
 }
 
 /* Preempts the last runs that exceed the memory; they are prefilled again. */
-static void preempt(struct engine *e, struct replay *r)
+static void preempt(struct engine *e, struct sim *r)
 {
 	double used = 0;
 	int i;
@@ -202,7 +202,7 @@
 	}
 }
 
-static void move_run(struct replay *r, struct run *g)
+static void move_run(struct sim *r, struct run *g)
 {
 	struct place_server s[ENGINES_MAX];
 	struct place_job j = {.prompt = (uint32_t)(g->prompt + g->made)};
@@ -215,7 +215,7 @@
 	r->engine[at].run[r->engine[at].n++] = *g;
 }
 
-static void engines_leave(struct replay *r)
+static void engines_leave(struct sim *r)
 {
 	int n = (int)(r->l->engines * LEAVE_SHARE);
 
@@ -233,7 +233,7 @@
 	}
 }
 
-static int arrivals(struct replay *r, double per_s)
+static int arrivals(struct sim *r, double per_s)
 {
 	double mean = per_s * STEP_MS / 1000, p = exp(-mean), left = draw_unit(r);
 	int n = 0;
@@ -244,7 +244,7 @@
 
 struct crowding_result crowding_run(const struct crowding_load *l)
 {
-	struct replay *r = calloc(1, sizeof *r);
+	struct sim *r = calloc(1, sizeof *r);
 	struct crowding_result result;
 	int i, n;
 
--- a/test/crowding.h
+++ b/test/crowding.h
@@ -14,9 +14,9 @@
 };
 
 struct crowding_result {
-	int longs, late; /* long streams with a first token; those where it missed the latency
-			    objective */
-	int preempted;   /* runs preempted for lack of memory, and prefilled again */
+	int long_streams, late; /* long streams with a first token; those where it missed the
+			    latency objective */
+	int preempted;          /* runs preempted for lack of memory, and prefilled again */
 	int refused;
 };
 
--- a/test/placing.c
+++ b/test/placing.c
@@ -26,7 +26,7 @@
 	unsigned prompt;
 };
 
-struct replay {
+struct sim {
 	const struct placing_load *l;
 	unsigned draw;
 	struct sent *sent;
@@ -34,7 +34,7 @@
 	double free_ms[ENGINES_MAX];
 };
 
-static double draw_unit(struct replay *r)
+static double draw_unit(struct sim *r)
 {
 	r->draw = r->draw * 1664525u + 1013904223u;
 	return (r->draw >> 8) / 16777216.0;
@@ -51,8 +51,7 @@
 }
 
 /* Builds the instance's view: its own sends at once, those of others after age_ms. */
-static void local_view(const struct replay *r, struct place_server *s, int instance,
-		       double now_ms)
+static void local_view(const struct sim *r, struct place_server *s, int instance, double now_ms)
 {
 	int i;
 
@@ -73,7 +72,7 @@
 	return l->counts_rivals ? l->per_s * others * l->age_ms / 1000 : 0;
 }
 
-static void send(struct replay *r, double now_ms)
+static void send(struct sim *r, double now_ms)
 {
 	struct place_server s[ENGINES_MAX];
 	struct sent *g = &r->sent[r->n];
@@ -105,7 +104,7 @@
 
 struct placing_result placing_run(const struct placing_load *l)
 {
-	struct replay r = {.l = l, .draw = l->seed};
+	struct sim r = {.l = l, .draw = l->seed};
 	struct placing_result out = {0};
 	int most = (int)(l->per_s * l->seconds * 2), i;
 	double now_ms = 0;
--- a/test/quar_play.h
+++ b/test/quar_play.h
@@ -26,7 +26,7 @@
 	return quar_add_crash(q, name, 0, "here", at_us);
 }
 
-static inline void ran(struct quar *q, uint32_t request, uint32_t crash, int64_t ran_us)
+static inline void add_run(struct quar *q, uint32_t request, uint32_t crash, int64_t ran_us)
 {
 	struct fp f = fp_of(request);
 
--- a/test/test_place.c
+++ b/test/test_place.c
@@ -344,23 +344,23 @@
 	return b;
 }
 
-#define ONE 11 /* other instances */
-#define TWO 13
+#define PEER_1 11 /* other instances */
+#define PEER_2 13
 
 static void failures_at_two_instances_eject_a_server(void)
 {
 	struct be *b = two_servers("twice");
 	struct be_ends bad = {0, 1}, good = {1, 0};
 
-	be_heard(b, ONE, bad);
-	be_heard(b, ONE, bad);
-	be_heard(b, ONE, bad);
+	be_heard(b, PEER_1, bad);
+	be_heard(b, PEER_1, bad);
+	be_heard(b, PEER_1, bad);
 	CU_ASSERT(be_usable(b,
 			    clock_us())); /* the reporting instance may be partitioned itself */
-	be_heard(b, ONE, good);
-	be_heard(b, TWO, bad);
+	be_heard(b, PEER_1, good);
+	be_heard(b, PEER_2, bad);
 	CU_ASSERT(be_usable(b, clock_us())); /* not consecutive */
-	be_heard(b, ONE, bad);
+	be_heard(b, PEER_1, bad);
 	CU_ASSERT(!be_usable(b, clock_us()));
 }
 
@@ -371,7 +371,7 @@
 
 	be_answered_badly(
 		b); /* may be caused by the request: not reported to other instances */
-	be_heard(b, ONE, bad);
+	be_heard(b, PEER_1, bad);
 	CU_ASSERT(be_usable(b, clock_us()));
 	CU_ASSERT_EQUAL(b->ends.bad, 0);
 	be_failed(b, "broke off");
@@ -385,8 +385,8 @@
 	struct be_ends bad = {0, 1};
 
 	be_leaving(b, "test");
-	be_heard(b, ONE, bad);
-	be_heard(b, TWO, bad);
+	be_heard(b, PEER_1, bad);
+	be_heard(b, PEER_2, bad);
 	CU_ASSERT_EQUAL(b->ejected_until_us, 0);
 }
 
--- a/test/test_quar.c
+++ b/test/test_quar.c
@@ -14,7 +14,7 @@
 static int nquarantined;
 static struct fp quarantined[64];
 
-static void note(const struct quar_suspect *s, void *arg)
+static void record_verdict(const struct quar_suspect *s, void *arg)
 {
 	(void)arg;
 	if (nquarantined < 64) quarantined[nquarantined] = s->fp;
@@ -23,17 +23,17 @@
 
 static void judge(struct quar *q, int64_t now_us)
 {
-	quar_judge(q, SERVERS, now_us, now_us, note, NULL);
+	quar_judge(q, SERVERS, now_us, now_us, record_verdict, NULL);
 }
 
-static struct quar *begin(void)
+static struct quar *new_table(void)
 {
 	nquarantined = 0;
 	return quar_new();
 }
 
-static enum quar_action ask(const struct quar *q, uint32_t request, uint32_t in_flight,
-			    int64_t now_us)
+static enum quar_action admit(const struct quar *q, uint32_t request, uint32_t in_flight,
+			      int64_t now_us)
 {
 	struct fp f = fp_of(request);
 
@@ -52,35 +52,35 @@
 {
 	int i;
 
-	for (i = 0; i < 3; i++) ran(q, request, crash_at(q, from_us + i * S), 100 * MS);
+	for (i = 0; i < 3; i++) add_run(q, request, crash_at(q, from_us + i * S), 100 * MS);
 }
 
 static void three_ends_under_one_request_blame_it(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 
-	ran(q, 1, crash_at(q, 10 * S), 100 * MS);
-	ran(q, 1, crash_at(q, 11 * S), 100 * MS);
+	add_run(q, 1, crash_at(q, 10 * S), 100 * MS);
+	add_run(q, 1, crash_at(q, 11 * S), 100 * MS);
 	judge(q, 11 * S);
 	CU_ASSERT_EQUAL(nquarantined, 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 11 * S), QUAR_ALLOW);
-	ran(q, 1, crash_at(q, 12 * S), 100 * MS);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 11 * S), QUAR_ALLOW);
+	add_run(q, 1, crash_at(q, 12 * S), 100 * MS);
 	judge(q, 12 * S);
 	CU_ASSERT_EQUAL(nquarantined, 1);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 12 * S), QUAR_REFUSE);
-	CU_ASSERT_EQUAL(ask(q, 2, 0, 12 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 12 * S), QUAR_REFUSE);
+	CU_ASSERT_EQUAL(admit(q, 2, 0, 12 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
 /* A report that it completed elsewhere may still be in flight. */
 static void an_end_is_judged_once_all_had_time_to_tell(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 
 	crash_three(q, 1, 10 * S);
-	quar_judge(q, SERVERS, 12 * S - MS, 12 * S, note, NULL);
+	quar_judge(q, SERVERS, 12 * S - MS, 12 * S, record_verdict, NULL);
 	CU_ASSERT_EQUAL(nquarantined, 0);
-	quar_judge(q, SERVERS, 12 * S, 12 * S + 200 * MS, note, NULL);
+	quar_judge(q, SERVERS, 12 * S, 12 * S + 200 * MS, record_verdict, NULL);
 	CU_ASSERT_EQUAL(nquarantined, 1);
 	quar_free(q);
 }
@@ -88,7 +88,7 @@
 /* Each instance that had a run on the server reports the same crash. */
 static void an_end_that_is_told_twice_counts_once(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	struct fp f = fp_of(1);
 	uint32_t e = quar_add_crash(q, "a", 0, "here", 10 * S);
 	int i;
@@ -106,22 +106,22 @@
  * happened under them too. */
 static void what_ran_beside_it_is_not_blamed(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	struct fp f = fp_of(1);
 	int i;
 
 	for (i = 0; i < 3; i++) {
 		uint32_t e = crash_at(q, 10 * S + i * S);
 
-		ran(q, 2, e, 900 * MS);
-		ran(q, 3, e, 1200 * MS);
-		ran(q, 1, e, 100 * MS);
+		add_run(q, 2, e, 900 * MS);
+		add_run(q, 3, e, 1200 * MS);
+		add_run(q, 1, e, 100 * MS);
 		judge(q, 10 * S + i * S);
 	}
 	CU_ASSERT_EQUAL(nquarantined, 1);
 	CU_ASSERT(fp_equal(&quarantined[0], &f));
-	CU_ASSERT_EQUAL(ask(q, 2, 0, 13 * S), QUAR_ALLOW);
-	CU_ASSERT_EQUAL(ask(q, 3, 9, 13 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 2, 0, 13 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 3, 9, 13 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
@@ -129,46 +129,46 @@
  * further crashes. */
 static void two_that_always_ran_together_wait_for_more(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	int i;
 
 	for (i = 0; i < 3; i++) {
 		uint32_t e = crash_at(q, 10 * S + i * S);
 
-		ran(q, 1, e, 100 * MS);
-		ran(q, 2, e, 110 * MS);
+		add_run(q, 1, e, 100 * MS);
+		add_run(q, 2, e, 110 * MS);
 	}
 	judge(q, 13 * S);
 	CU_ASSERT_EQUAL(nquarantined, 0);
-	ran(q, 1, crash_at(q, 14 * S), 100 * MS);
+	add_run(q, 1, crash_at(q, 14 * S), 100 * MS);
 	judge(q, 14 * S);
 	CU_ASSERT_EQUAL(nquarantined, 1);
-	CU_ASSERT_EQUAL(ask(q, 2, 0, 14 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 2, 0, 14 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
 /* A frequent request runs on each server that crashes, but completes everywhere else. */
 static void one_that_comes_through_elsewhere_is_not_blamed(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	int i;
 
 	for (i = 0; i < 20; i++) {
-		ran(q, 1, crash_at(q, 10 * S + i * 3 * S), 50 * MS);
+		add_run(q, 1, crash_at(q, 10 * S + i * 3 * S), 50 * MS);
 		CU_ASSERT_EQUAL(succeed(q, 1, 10 * S + i * 3 * S + 20 * MS), 1);
 		judge(q, 10 * S + i * 3 * S + 30 * MS);
 	}
 	CU_ASSERT_EQUAL(nquarantined, 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 50, 68 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 1, 50, 68 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
 /* Crashes count again from two seconds after its last completed run. */
 static void one_that_came_through_once_may_be_blamed_later(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 
-	ran(q, 1, crash_at(q, 9 * S), 100 * MS);
+	add_run(q, 1, crash_at(q, 9 * S), 100 * MS);
 	succeed(q, 1, 9 * S + 500 * MS);
 	crash_three(q, 1, 12 * S);
 	judge(q, 15 * S);
@@ -179,11 +179,11 @@
 /* Servers that crash simultaneously have a common cause; the stream ran on only one of them. */
 static void ends_at_one_moment_do_not_count_against_what_ran_on_one(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	int i, k;
 
 	for (i = 0; i < 6; i++) {
-		ran(q, 1, crash_at(q, 10 * S + i * S), 100 * MS);
+		add_run(q, 1, crash_at(q, 10 * S + i * S), 100 * MS);
 		for (k = 0; k < 2; k++) crash_at(q, 10 * S + i * S + 20 * MS);
 		judge(q, 10 * S + i * S + 50 * MS);
 	}
@@ -194,10 +194,10 @@
 /* The same request was sent by several instances at once. */
 static void ends_at_one_moment_count_against_what_ran_on_all(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	int i;
 
-	for (i = 0; i < 4; i++) ran(q, 1, crash_at(q, 10 * S + i * 10 * MS), 100 * MS);
+	for (i = 0; i < 4; i++) add_run(q, 1, crash_at(q, 10 * S + i * 10 * MS), 100 * MS);
 	judge(q, 11 * S);
 	CU_ASSERT_EQUAL(nquarantined, 1);
 	quar_free(q);
@@ -206,14 +206,16 @@
 /* Servers that crash for other causes interrupt long runs more often than short ones. */
 static void long_runs_are_not_blamed_where_servers_end_often(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	int i;
 
 	for (i = 0; i < 60; i++) crash_at(q, 10 * S + i * 500 * MS);
-	for (i = 0; i < 3; i++) ran(q, 1, crash_at(q, 20 * S + i * 5 * S + 250 * MS), 5 * S);
+	for (i = 0; i < 3; i++)
+		add_run(q, 1, crash_at(q, 20 * S + i * 5 * S + 250 * MS), 5 * S);
 	judge(q, 41 * S);
 	CU_ASSERT_EQUAL(nquarantined, 0);
-	for (i = 0; i < 6; i++) ran(q, 2, crash_at(q, 20 * S + i * 3 * S + 150 * MS), 40 * MS);
+	for (i = 0; i < 6; i++)
+		add_run(q, 2, crash_at(q, 20 * S + i * 3 * S + 150 * MS), 40 * MS);
 	judge(q, 41 * S);
 	CU_ASSERT_EQUAL(nquarantined, 1);
 	quar_free(q);
@@ -222,70 +224,70 @@
 /* Until its result is known, a run in flight counts as if it crashed its server. */
 static void copies_under_way_count_before_their_ends_are_told(void)
 {
-	struct quar *q = begin();
-
-	CU_ASSERT_EQUAL(ask(q, 1, 9, 10 * S), QUAR_ALLOW);
-	ran(q, 1, crash_at(q, 10 * S), 100 * MS);
-	CU_ASSERT_EQUAL(ask(q, 1, 1, 10 * S), QUAR_ALLOW);
-	CU_ASSERT_EQUAL(ask(q, 1, 2, 10 * S), QUAR_WAIT);
-	ran(q, 1, crash_at(q, 11 * S), 100 * MS);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 11 * S), QUAR_ALLOW);
-	CU_ASSERT_EQUAL(ask(q, 1, 1, 11 * S), QUAR_WAIT);
+	struct quar *q = new_table();
+
+	CU_ASSERT_EQUAL(admit(q, 1, 9, 10 * S), QUAR_ALLOW);
+	add_run(q, 1, crash_at(q, 10 * S), 100 * MS);
+	CU_ASSERT_EQUAL(admit(q, 1, 1, 10 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 1, 2, 10 * S), QUAR_WAIT);
+	add_run(q, 1, crash_at(q, 11 * S), 100 * MS);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 11 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 1, 1, 11 * S), QUAR_WAIT);
 	quar_free(q);
 }
 
 static void a_wrongly_blamed_one_is_free_after_one_trial(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 
 	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 72 * S), QUAR_REFUSE);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 74 * S), QUAR_TRIAL);
-	CU_ASSERT_EQUAL(ask(q, 1, 1, 74 * S), QUAR_REFUSE); /* one at a time */
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 72 * S), QUAR_REFUSE);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 74 * S), QUAR_TRIAL);
+	CU_ASSERT_EQUAL(admit(q, 1, 1, 74 * S), QUAR_REFUSE); /* one at a time */
 	CU_ASSERT_EQUAL(succeed(q, 1, 75 * S), 2);
-	CU_ASSERT_EQUAL(ask(q, 1, 5, 75 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 1, 5, 75 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
 static void a_trial_that_ends_a_server_blocks_for_longer(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 
 	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
-	ran(q, 1, crash_at(q, 74 * S), 100 * MS);
+	add_run(q, 1, crash_at(q, 74 * S), 100 * MS);
 	judge(q, 74 * S);
 	CU_ASSERT_EQUAL(nquarantined, 2);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 74 * S + 119 * S), QUAR_REFUSE);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 74 * S + 121 * S), QUAR_TRIAL);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 74 * S + 119 * S), QUAR_REFUSE);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 74 * S + 121 * S), QUAR_TRIAL);
 	quar_free(q);
 }
 
 /* A run that was in flight when the quarantine began and then completed ends it. */
 static void a_run_that_comes_through_frees_at_once(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 
 	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
 	CU_ASSERT_EQUAL(succeed(q, 1, 7 * S), 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 14 * S), QUAR_REFUSE);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 14 * S), QUAR_REFUSE);
 	CU_ASSERT_EQUAL(succeed(q, 1, 14 * S), 2);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 14 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 14 * S), QUAR_ALLOW);
 	quar_free(q);
 }
 
 static void an_operator_clears_one(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	struct fp f = fp_of(1);
 
 	CU_ASSERT_EQUAL(quar_clear(q, &f, 9 * S), -ENOENT);
 	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
 	CU_ASSERT_EQUAL(quar_clear(q, &f, 14 * S), 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 14 * S), QUAR_ALLOW);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 14 * S), QUAR_ALLOW);
 	judge(q, 14 * S);
 	CU_ASSERT_EQUAL(nquarantined, 1);
 	quar_free(q);
@@ -294,12 +296,12 @@
 /* Verdicts lead to the same state in whatever order they arrive. */
 static void verdicts_agree_in_any_order(void)
 {
-	static const uint32_t told[4][2] = {{1, 0}, {1, 1}, {2, 1}, {2, 2}};
+	static const uint32_t verdict[4][2] = {{1, 0}, {1, 1}, {2, 1}, {2, 2}};
 	struct fp f = fp_of(1);
 	int order;
 
 	for (order = 0; order < 24; order++) {
-		struct quar *q = begin(), *other = quar_new();
+		struct quar *q = new_table(), *other = quar_new();
 		int i, at = order, used = 0;
 
 		for (i = 4; i > 0; i--) {
@@ -309,11 +311,12 @@
 			for (k = 0; used >> k & 1 || pick--; k++) {
 			}
 			used |= 1 << k;
-			quar_merge(q, &f, told[k][0], told[k][1], 10 * S);
+			quar_merge(q, &f, verdict[k][0], verdict[k][1], 10 * S);
 		}
-		for (i = 0; i < 4; i++) quar_merge(other, &f, told[i][0], told[i][1], 10 * S);
+		for (i = 0; i < 4; i++)
+			quar_merge(other, &f, verdict[i][0], verdict[i][1], 10 * S);
 		CU_ASSERT_EQUAL(quar_digest(q), quar_digest(other));
-		CU_ASSERT_EQUAL(ask(q, 1, 0, 11 * S), QUAR_ALLOW);
+		CU_ASSERT_EQUAL(admit(q, 1, 0, 11 * S), QUAR_ALLOW);
 		quar_free(other);
 		quar_free(q);
 	}
@@ -321,7 +324,7 @@
 
 static void a_verdict_that_is_no_news_changes_nothing(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	struct fp f = fp_of(1);
 
 	CU_ASSERT_EQUAL(quar_merge(q, &f, 0, 0, 10 * S), 0);
@@ -329,25 +332,25 @@
 	CU_ASSERT(quar_empty(q));
 	CU_ASSERT_EQUAL(quar_merge(q, &f, 1, 0, 10 * S), 1);
 	CU_ASSERT_EQUAL(quar_merge(q, &f, 1, 0, 30 * S), 0);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 69 * S), QUAR_REFUSE);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 71 * S), QUAR_TRIAL);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 69 * S), QUAR_REFUSE);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 71 * S), QUAR_TRIAL);
 	quar_free(q);
 }
 
 /* A flood of other suspects must neither evict a quarantined request nor use more memory. */
 static void the_least_harmful_are_forgotten_first(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 	struct fp f = fp_of(1);
 	uint32_t i;
 
 	crash_three(q, 1, 10 * S);
 	judge(q, 13 * S);
-	ran(q, 2, crash_at(q, 14 * S), 100 * MS);
-	ran(q, 2, crash_at(q, 15 * S), 100 * MS);
+	add_run(q, 2, crash_at(q, 14 * S), 100 * MS);
+	add_run(q, 2, crash_at(q, 15 * S), 100 * MS);
 	for (i = 0; i < 3 * QUAR_SUSPECTS; i++)
-		ran(q, 100 + i, crash_at(q, 20 * S + i * MS), 100 * MS);
-	CU_ASSERT_EQUAL(ask(q, 1, 0, 30 * S), QUAR_REFUSE);
+		add_run(q, 100 + i, crash_at(q, 20 * S + i * MS), 100 * MS);
+	CU_ASSERT_EQUAL(admit(q, 1, 0, 30 * S), QUAR_REFUSE);
 	CU_ASSERT_PTR_NOT_NULL(quar_find(q, &f));
 	f = fp_of(2);
 	CU_ASSERT_PTR_NOT_NULL(quar_find(q, &f));
@@ -360,9 +363,9 @@
 
 static void old_suspicions_are_forgotten(void)
 {
-	struct quar *q = begin();
+	struct quar *q = new_table();
 
-	ran(q, 1, crash_at(q, 10 * S), 100 * MS);
+	add_run(q, 1, crash_at(q, 10 * S), 100 * MS);
 	judge(q, 700 * S);
 	CU_ASSERT(quar_empty(q));
 	crash_three(q, 1, 700 * S);
--- a/test/test_quar_days.c
+++ b/test/test_quar_days.c
@@ -24,7 +24,7 @@
 struct day_run {
 	uint32_t request;
 	int server, sends;
-	int64_t began_us, over_us;
+	int64_t began_us, end_us;
 };
 
 struct day {
@@ -36,7 +36,7 @@
 	int crashes, guilty_crashes, wrong, right;
 };
 
-static void note_day(const struct quar_suspect *s, void *arg)
+static void record_verdict(const struct quar_suspect *s, void *arg)
 {
 	struct day *d = arg;
 	struct fp f = fp_of(GUILTY);
@@ -51,7 +51,7 @@
 {
 	r->server = g_rand_int_range(d->rand, 0, DAY_SERVERS);
 	r->began_us = now;
-	r->over_us = now + g_rand_int_range(d->rand, 50, 8000) * MS;
+	r->end_us = now + g_rand_int_range(d->rand, 50, 8000) * MS;
 	r->sends++;
 }
 
@@ -74,7 +74,7 @@
 		struct day_run *r = &d->run[i];
 
 		if (r->server != server) continue;
-		ran(d->q, r->request, e, now - r->began_us);
+		add_run(d->q, r->request, e, now - r->began_us);
 		if (r->sends < 4)
 			send(d, r, now);
 		else
@@ -91,7 +91,7 @@
 
 		if (now - r->began_us >= LONG_RUN_US && r->request == COMMON)
 			d->success_us = now;
-		if (now < r->over_us) continue;
+		if (now < r->end_us) continue;
 		succeed(d->q, r->request, now);
 		new_request(d, r, now);
 	}
@@ -114,7 +114,7 @@
 	if (now < GUILTY_US || now % (300 * MS) || is_blocked(d->q, GUILTY, now)) return;
 	server_crashes(d, server, now);
 	e = d->q->ncrashes - 1;
-	ran(d->q, GUILTY, e, g_rand_int_range(d->rand, 50, 800) * MS);
+	add_run(d->q, GUILTY, e, g_rand_int_range(d->rand, 50, 800) * MS);
 	d->guilty_crashes++;
 }
 
@@ -128,7 +128,7 @@
 		server_crashes(d, g_rand_int_range(d->rand, 0, DAY_SERVERS), now + i * 5 * MS);
 }
 
-static struct day play(uint32_t seed, int at_once, int64_t gap_us, int guilty)
+static struct day run_day(uint32_t seed, int at_once, int64_t gap_us, int guilty)
 {
 	struct day d = {.q = quar_new(), .rand = g_rand_new_with_seed(seed), .next = 10};
 	uint32_t judged = 0;
@@ -142,7 +142,7 @@
 		if (guilty) step_guilty(&d, now);
 		succeed(d.q, COMMON, d.success_us); /* other instances report it */
 		if (d.q->ncrashes != judged)
-			quar_judge(d.q, DAY_SERVERS, now + S, now, note_day, &d);
+			quar_judge(d.q, DAY_SERVERS, now + S, now, record_verdict, &d);
 		judged = d.q->ncrashes;
 	}
 	g_rand_free(d.rand);
@@ -157,13 +157,13 @@
 	int most; /* maximum of servers that GUILTY crashed in a day before its quarantine */
 };
 
-static struct tally play_days(int at_once, int64_t gap_us, int guilty)
+static struct tally run_days(int at_once, int64_t gap_us, int guilty)
 {
 	struct tally t = {0};
 	int seed;
 
 	for (seed = 0; seed < DAYS; seed++) {
-		struct day d = play(seed, at_once, gap_us, guilty);
+		struct day d = run_day(seed, at_once, gap_us, guilty);
 
 		t.wrong += d.wrong;
 		t.crashes += d.crashes;
@@ -176,7 +176,7 @@
 /* Four of 22 servers crash at once each 3.3 s, all day. */
 static void nobody_is_blamed_while_a_sixth_ends_again_and_again(void)
 {
-	struct tally t = play_days(4, 3300 * MS, 0);
+	struct tally t = run_days(4, 3300 * MS, 0);
 
 	CU_ASSERT_EQUAL(t.wrong, 0);
 	CU_ASSERT(t.crashes > 4000);
@@ -185,7 +185,7 @@
 /* Servers crash one at a time: only the duration of runs distinguishes cause from chance. */
 static void nobody_is_blamed_while_servers_end_one_by_one(void)
 {
-	struct tally t = play_days(1, 1000 * MS, 0);
+	struct tally t = run_days(1, 1000 * MS, 0);
 
 	CU_ASSERT_EQUAL(t.wrong, 0);
 	CU_ASSERT(t.crashes > 3000);
@@ -193,7 +193,7 @@
 
 static void the_guilty_one_is_found_among_all(void)
 {
-	struct tally t = play_days(0, 0, 1);
+	struct tally t = run_days(0, 0, 1);
 
 	CU_ASSERT_EQUAL(t.wrong, 0);
 	CU_ASSERT(t.most >= 3);
@@ -204,7 +204,7 @@
  * crashes. */
 static void the_guilty_one_is_found_while_a_sixth_ends_too(void)
 {
-	struct tally t = play_days(4, 3300 * MS, 1);
+	struct tally t = run_days(4, 3300 * MS, 1);
 
 	CU_ASSERT_EQUAL(t.wrong, 0);
 	CU_ASSERT(t.most <= 6);
--- a/test/test_quota.c
+++ b/test/test_quota.c
@@ -42,8 +42,8 @@
 	int64_t join_us;
 };
 
-static int64_t send_times[TIMES_MAX];
-static int nsends;
+static int64_t arrival_times[TIMES_MAX];
+static int narrivals;
 static uint32_t draw;
 
 static uint32_t drawn(uint32_t n)
@@ -93,16 +93,16 @@
 static void step_instance(struct sim *p, int k, int64_t now)
 {
 	struct instance *i = &p->i[k];
-	int64_t learnt_us = NAMED_US + drawn(PROPAGATION_US);
+	int64_t received_us = NAMED_US + drawn(PROPAGATION_US);
 	int old = now < p->changed_us + PROPAGATION_US;
 	struct quota_bound b = {QUOTA_LIMIT, {.limit = {old ? p->limit_before : p->limit}}};
 
-	if (i->down_us || !has_joined(p, k, now) || now < learnt_us) return;
-	if (learnt_us < i->started_us) learnt_us = i->started_us;
-	quota_set_share(&i->pace, share_of(p, k, quota_sum(&b), now), learnt_us, now);
+	if (i->down_us || !has_joined(p, k, now) || now < received_us) return;
+	if (received_us < i->started_us) received_us = i->started_us;
+	quota_set_share(&i->pace, share_of(p, k, quota_sum(&b), now), received_us, now);
 	if (quota_wait_us(&i->pace, &b, now)) return;
 	quota_spend(&i->pace, &b, now);
-	if (nsends < TIMES_MAX) send_times[nsends++] = now + drawn(DELAY_US);
+	if (narrivals < TIMES_MAX) arrival_times[narrivals++] = now + drawn(DELAY_US);
 }
 
 #define DOWN_US 700000         /* duration of a restart */
@@ -144,7 +144,7 @@
 	int64_t now;
 	int k;
 
-	nsends = 0;
+	narrivals = 0;
 	for (k = 0; k < p->n; k++) {
 		p->i[k].side = k % 2;
 		if (p->join_at_n && k >= p->join_at_n) p->i[k].started_us = p->join_us;
@@ -168,10 +168,11 @@
 {
 	int i, first = 0, most = 0;
 
-	qsort(send_times, nsends, sizeof *send_times, by_time);
-	for (i = 0; i < nsends; i++) {
-		if (send_times[i] < from_us) first = i + 1;
-		while (first < i && send_times[i] - send_times[first] >= WINDOW_US) first++;
+	qsort(arrival_times, narrivals, sizeof *arrival_times, by_time);
+	for (i = 0; i < narrivals; i++) {
+		if (arrival_times[i] < from_us) first = i + 1;
+		while (first < i && arrival_times[i] - arrival_times[first] >= WINDOW_US)
+			first++;
 		if (first <= i && i + 1 - first > most) most = i + 1 - first;
 	}
 	return most;
@@ -215,7 +216,7 @@
  * have nothing to send. */
 static int gets_its_share(double limit)
 {
-	double each = (double)nsends * WINDOW_US / (SIM_US - NAMED_US);
+	double each = (double)narrivals * WINDOW_US / (SIM_US - NAMED_US);
 
 	return each >= limit * WINDOW_US / 1000000 * .7 - 1;
 }
--- a/test/test_roles.c
+++ b/test/test_roles.c
@@ -87,7 +87,8 @@
 
 /* Number of instances that watch the store, or retry it in an outage, as each one computes it
  * for itself. */
-static int how_many(int (*does)(const struct roles_peer *p, int n), int down_from, int down_to)
+static int count_instances(int (*does)(const struct roles_peer *p, int n), int down_from,
+			   int down_to)
 {
 	struct roles_peer p[FLEET];
 	int self, i, sum = 0;
@@ -103,11 +104,11 @@
 
 static void few_talk_to_the_store_whatever_it_does(void)
 {
-	CU_ASSERT_EQUAL(how_many(roles_watches, 0, 0), 3);
-	CU_ASSERT_EQUAL(how_many(roles_watches, 0, 12), 3); /* the store rejects these */
-	CU_ASSERT_EQUAL(how_many(roles_watches, 0, FLEET), 0);
-	CU_ASSERT_EQUAL(how_many(roles_retries_store, 0, 0), 0);
-	CU_ASSERT_EQUAL(how_many(roles_retries_store, 0, FLEET), 2);
+	CU_ASSERT_EQUAL(count_instances(roles_watches, 0, 0), 3);
+	CU_ASSERT_EQUAL(count_instances(roles_watches, 0, 12), 3); /* the store rejects these */
+	CU_ASSERT_EQUAL(count_instances(roles_watches, 0, FLEET), 0);
+	CU_ASSERT_EQUAL(count_instances(roles_retries_store, 0, 0), 0);
+	CU_ASSERT_EQUAL(count_instances(roles_retries_store, 0, FLEET), 2);
 }
 
 static void who_watches_takes_no_callers(void)
