--- a/include/saddlehead/member.h
+++ b/include/saddlehead/member.h
@@ -31,7 +31,7 @@
 			       suspect */
 	int64_t suspect_us; /* a member that stays suspect for this long is declared dead */
 	int64_t forget_us;  /* dead members are forgotten after this time */
-	uint32_t seed;      /* of the random order in which members are probed */
+	uint32_t seed;      /* seed of the random order in which members are probed */
 };
 
 struct mbr;
@@ -42,8 +42,8 @@
 /* Applies an update from a peer. Returns 1 if the local view changed. */
 int mbr_apply(struct mbr *m, const struct mbr_info *update, int64_t now_us);
 
-/* Records a message received directly from a member: it is alive. Returns 1 if the local view
- * changed. */
+/* Records a message received directly from a member: no heartbeat to it is unanswered any more.
+ * Always returns 0, as a suspect becomes alive only by an update with a higher incarnation. */
 int mbr_seen(struct mbr *m, uint64_t id, int64_t now_us);
 
 /* Selects the members to send the next heartbeats to; returns their number, at most max. */
--- a/test/crowding.c
+++ b/test/crowding.c
@@ -23,14 +23,14 @@
 #define SHORT_OBJECTIVE_MS 1500
 #define LEAVE_EVERY_MS 3300
 #define LEAVE_SHARE 0.14
-#define AWAY_MS 4000
+#define GONE_MS 4000
 #define MOVE_MS 400 /* duration of a memory transfer */
 #define WAITING_MAX 4096
 
 struct run {
 	int is_long, late_counted;
 	int arrived_ms, moving_until_ms; /* moving_until_ms: end of its transfer; 0: none */
-	double prompt, unread, made, tokens;
+	double prompt, unread, generated, tokens;
 };
 
 struct engine {
@@ -60,16 +60,16 @@
 
 static void add_to_view(struct place_server *s, const struct run *g, const struct sim *r)
 {
-	double left = g->tokens - g->made;
+	double left = g->tokens - g->generated;
 
 	if (g->moving_until_ms > r->now_ms) {
-		s->inbound += (uint32_t)(g->prompt + g->made);
+		s->inbound += (uint32_t)(g->prompt + g->generated);
 		return;
 	}
 	s->runs++;
 	s->unread += (uint32_t)g->unread;
-	s->used += (uint32_t)(g->prompt + g->made);
-	s->held += (uint32_t)(g->prompt + g->made + (left > 0 ? left : 0));
+	s->used += (uint32_t)(g->prompt + g->generated);
+	s->held += (uint32_t)(g->prompt + g->generated + (left > 0 ? left : 0));
 }
 
 static void build_view(const struct sim *r, struct place_server *s)
@@ -90,7 +90,7 @@
 
 static struct place_job job_of(const struct run *g)
 {
-	return (struct place_job){.prompt = (uint32_t)(g->prompt + g->made),
+	return (struct place_job){.prompt = (uint32_t)(g->prompt + g->generated),
 				  .growth = g->is_long ? LONG_TOKENS : SHORT_TOKENS};
 }
 
@@ -181,8 +181,8 @@
 
 		if (g->unread > 0 || g->moving_until_ms > r->now_ms) continue;
 		record_first_token(r, g);
-		g->made += STEP_TOKENS;
-		if (g->made >= g->tokens) *g = e->run[--e->n];
+		g->generated += STEP_TOKENS;
+		if (g->generated >= g->tokens) *g = e->run[--e->n];
 	}
 }
 
@@ -195,9 +195,9 @@
 	for (i = 0; i < e->n; i++) {
 		struct run *g = &e->run[i];
 
-		used += g->prompt + g->made;
+		used += g->prompt + g->generated;
 		if (used <= MEMORY || g->unread > 0) continue;
-		g->unread = g->prompt + g->made;
+		g->unread = g->prompt + g->generated;
 		r->result.preempted++;
 	}
 }
@@ -205,7 +205,7 @@
 static void move_run(struct sim *r, struct run *g)
 {
 	struct place_server s[ENGINES_MAX];
-	struct place_job j = {.prompt = (uint32_t)(g->prompt + g->made)};
+	struct place_job j = {.prompt = (uint32_t)(g->prompt + g->generated)};
 	int at;
 
 	build_view(r, s);
@@ -224,7 +224,7 @@
 			&r->engine[(int)(draw_unit(r) * r->l->engines) % r->l->engines];
 
 		if (r->now_ms < e->back_ms) continue;
-		e->back_ms = r->now_ms + AWAY_MS;
+		e->back_ms = r->now_ms + GONE_MS;
 		while (e->n) {
 			struct run g = e->run[--e->n];
 
--- a/test/test_quar_days.c
+++ b/test/test_quar_days.c
@@ -97,7 +97,7 @@
 	}
 }
 
-static int is_blocked(const struct quar *q, uint32_t request, int64_t now)
+static int is_refused(const struct quar *q, uint32_t request, int64_t now)
 {
 	struct fp f = fp_of(request);
 
@@ -111,7 +111,7 @@
 	uint32_t e;
 	int server = g_rand_int_range(d->rand, 0, DAY_SERVERS);
 
-	if (now < GUILTY_US || now % (300 * MS) || is_blocked(d->q, GUILTY, now)) return;
+	if (now < GUILTY_US || now % (300 * MS) || is_refused(d->q, GUILTY, now)) return;
 	server_crashes(d, server, now);
 	e = d->q->ncrashes - 1;
 	add_run(d->q, GUILTY, e, g_rand_int_range(d->rand, 50, 800) * MS);
