--- a/src/fleet/cache.c
+++ b/src/fleet/cache.c
@@ -85,7 +85,7 @@
 
 int cache_take_updates(uint64_t after, uint64_t upto)
 {
-	return spread_take(&revs.backends, after, upto);
+	return spread_apply(&revs.backends, after, upto);
 }
 
 void cache_confirm(uint64_t revision, int64_t at_us)
--- a/src/fleet/mesh_part.c
+++ b/src/fleet/mesh_part.c
@@ -21,7 +21,7 @@
 };
 
 static GHashTable *known; /* address -> struct known */
-static struct part_life incarnation;
+static struct part_incarnation incarnation;
 static int stale = 1;
 static int64_t checked_us, retry_at_us;
 static double part;
@@ -57,7 +57,7 @@
 
 void mesh_part_seen(const struct member *m)
 {
-	incarnation.heard = 1;
+	incarnation.seen_others = 1;
 	add_seen(m->ip, m->link_mbps, clock_us());
 }
 
@@ -179,8 +179,8 @@
 	forget_expired(now);
 	if (!needs_update(now)) return part;
 	peers = all_known();
-	part = part_mine(&incarnation, (struct roles_peer *)(void *)peers->data,
-			 (int)peers->len, window_us, now);
+	part = part_of_self(&incarnation, (struct roles_peer *)(void *)peers->data,
+			    (int)peers->len, window_us, now);
 	g_array_free(peers, TRUE);
 	stale = 0;
 	retry_at_us = now + RETRY_US;
--- a/src/fleet/mesh_roles.c
+++ b/src/fleet/mesh_roles.c
@@ -27,10 +27,10 @@
 
 static enum roles_state state_of(struct member *m, int64_t now)
 {
-	if (m->alive) return m->hb.draining ? ROLES_AWAY : ROLES_ALIVE;
+	if (m->alive) return m->hb.draining ? ROLES_GONE : ROLES_ALIVE;
 	if (!m->candidate_us || now - m->candidate_us > CANDIDATE_RETRY_US)
 		m->candidate_us = now;
-	return now - m->candidate_us < CANDIDATE_US ? ROLES_TRIED : ROLES_AWAY;
+	return now - m->candidate_us < CANDIDATE_US ? ROLES_UNSEEN : ROLES_GONE;
 }
 
 void mesh_release_role(struct member *m)
@@ -43,7 +43,7 @@
 {
 	struct roles_peer p = {.link_mbps = mesh_cfg()->link_mbps,
 			       .hash = g_str_hash(mesh_cfg()->ip),
-			       .state = mesh_self_draining() ? ROLES_AWAY : ROLES_ALIVE,
+			       .state = mesh_self_draining() ? ROLES_GONE : ROLES_ALIVE,
 			       .store_down = !mesh_self_store_up(),
 			       .self = 1};
 
@@ -93,8 +93,8 @@
 			set_member(p[i].user, &p[i]);
 	}
 	self_watches_store = roles_watches(p, n);
-	self_probes_store = roles_asks(p, n);
-	store_answers = roles_store_answers(p, n);
+	self_probes_store = roles_retries_store(p, n);
+	store_answers = roles_store_up(p, n);
 	met_set(MET_G_ACTIVE, self_active);
 }
 
@@ -109,7 +109,7 @@
 	add_self();
 	for (i = 0; i < mesh_members()->len; i++)
 		add_member(g_ptr_array_index(mesh_members(), i), now);
-	roles_choose((struct roles_peer *)(void *)peers->data, (int)peers->len);
+	roles_assign((struct roles_peer *)(void *)peers->data, (int)peers->len);
 	apply_roles();
 }
 
@@ -150,7 +150,7 @@
 
 int64_t mesh_backoff_us(void)
 {
-	return roles_rest_us((int)mesh_members()->len + 1, g_random_int());
+	return roles_backoff_us((int)mesh_members()->len + 1, g_random_int());
 }
 
 int mesh_keeps_link(const struct member *m)
--- a/src/fleet/mesh_tree.c
+++ b/src/fleet/mesh_tree.c
@@ -32,7 +32,7 @@
 	struct spread_hub hubs[HUBS_MAX], me = self();
 
 	if (!mesh_self_hub()) return 0;
-	return spread_tells(&me, hubs, collect_hubs(m, hubs), g_str_hash(m->ip));
+	return spread_is_primary(&me, hubs, collect_hubs(m, hubs), g_str_hash(m->ip));
 }
 
 /* Whether this hub is the one that forwards updates to m, a standby instance. */
@@ -41,7 +41,7 @@
 	struct spread_hub hubs[HUBS_MAX], me = self();
 	int n = collect_hubs(m, hubs);
 
-	return spread_passes_on(&me, hubs, n, g_str_hash(m->ip), m->hb.dc);
+	return spread_forwards(&me, hubs, n, g_str_hash(m->ip), m->hb.dc);
 }
 
 /* Recipients are instances that forward updates or need them at once, and those that get them
--- a/src/fleet/watch_confirm.c
+++ b/src/fleet/watch_confirm.c
@@ -105,14 +105,14 @@
 
 static int may_confirm(int64_t now)
 {
-	struct roles_old o = {.hub = mesh_self_hub(),
-			      .asks = mesh_probes_store(),
-			      .store_up = watch_store_up()};
+	struct roles_stale o = {.hub = mesh_self_hub(),
+				.retries_store = mesh_probes_store(),
+				.store_up = watch_store_up()};
 
 	if (now < not_before_us) return 0;
 	if (!backoff_until_us) backoff_until_us = now + mesh_backoff_us();
-	o.rest_until_us = backoff_until_us;
-	return roles_may_ask(&o, now);
+	o.backoff_until_us = backoff_until_us;
+	return roles_may_call(&o, now);
 }
 
 /* An answer being received is not late: a configuration takes a second on a slow link. */
--- a/src/internal/be.h
+++ b/src/internal/be.h
@@ -77,10 +77,10 @@
 	struct be_outcomes outcomes;
 	/* From the exchanges of all instances: */
 	uint32_t bad_streak; /* bad outcomes in a row, each of another instance than the last */
-	uint32_t last_bad_by;     /* the instance of the last of them */
-	double latency_us;        /* moving average over plain answers; 0: none yet */
-	uint32_t latency_samples; /* answers in latency_us */
-	struct limit_word limit;  /* the rate limit that it announced last */
+	uint32_t last_bad_by;      /* the instance of the last of them */
+	double latency_us;         /* moving average over plain answers; 0: none yet */
+	uint32_t latency_samples;  /* answers in latency_us */
+	struct limit_report limit; /* the rate limit that it announced last */
 	/* When this instance last learned of a limit or of its end; 0: never. */
 	int64_t limit_changed_us;
 	int64_t unusable_logged_us; /* when an unusable notice of it was last logged */
--- a/src/internal/rq_impl.h
+++ b/src/internal/rq_impl.h
@@ -207,7 +207,7 @@
 /* Microseconds until b may get new work of r's service; INT64_MAX: no such time is known. */
 int64_t rq_usable_in(struct be *b, const struct rq *r, int64_t now);
 /* Describes b as a candidate; dc: the data centre that near and far refer to. */
-void rq_fill_site(struct place_site *s, struct be *b, const struct rq *r, const char *dc,
+void rq_fill_site(struct place_server *s, struct be *b, const struct rq *r, const char *dc,
 		  int64_t now);
 /* Load of all instances together on b. */
 struct be_load rq_total_load(const struct be *b);
--- a/src/relay/rq_answer.c
+++ b/src/relay/rq_answer.c
@@ -135,7 +135,8 @@
 	if (!att->first_us) {
 		att->first_us = r->event_us;
 		if (att->prompt_unread)
-			length_observe_start(rq_length_stats(r), att->first_us - att->sent_us);
+			length_observe_first_token(rq_length_stats(r),
+						   att->first_us - att->sent_us);
 		att_prompt_read(att);
 		att_recount(att);
 		be_succeeded(att->be, 0);
--- a/src/relay/rq_budget.c
+++ b/src/relay/rq_budget.c
@@ -45,7 +45,7 @@
 {
 	struct budget_rule now = current_rule();
 
-	if (ev_now() - r->retry_counted_us > budget_late_us(&now)) count_retry(r);
+	if (ev_now() - r->retry_counted_us > budget_delay_us(&now)) count_retry(r);
 	r->retry_counted_us = ev_now();
 }
 
@@ -93,7 +93,7 @@
 {
 	if (r->sends - r->unreached_count >= RQ_SENDS_MAX) return 0;
 	if (!r->reached_count) return r->sends < RQ_CONNECTS_MAX;
-	if (!spend_budget(r, BUDGET_REPEAT)) return 0;
+	if (!spend_budget(r, BUDGET_RETRY)) return 0;
 	r->retry_counted_us = ev_now();
 	return 1;
 }
--- a/src/relay/rq_pick.c
+++ b/src/relay/rq_pick.c
@@ -48,31 +48,31 @@
 	return MAX(in_us, wait_us);
 }
 
-void rq_fill_site(struct place_site *s, struct be *b, const struct rq *r, const char *dc,
+void rq_fill_site(struct place_server *s, struct be *b, const struct rq *r, const char *dc,
 		  int64_t now)
 {
 	struct be_load all = rq_total_load(b);
 
-	*s = (struct place_site){
+	*s = (struct place_server){
 		.usable = rq_usable_in(b, r, now) == 0,
-		.near = !strcmp(b->zone, dc),
-		.away = in_other_region(b, dc),
+		.same_dc = !strcmp(b->zone, dc),
+		.other_region = in_other_region(b, dc),
 		.slots = b->slots,
 		.runs = all.runs,
 		.unread = all.prefill,
 		.held = all.forecast,
-		.backup = all.replicas,
+		.replica = all.replicas,
 		.used = all.used,
 		.tokens = r->service->tokens,
 		.inbound = all.inbound,
 		.answer_us = b->latency_us,
-		.doubt = be_latency_uncertainty(b),
+		.uncertainty = be_latency_uncertainty(b),
 	};
 }
 
 /* Candidates without free memory that a choice may hold; the remaining places are for others.
  */
-#define FULL_SITES_MAX (PLACE_SITES_MAX * 3 / 4)
+#define FULL_SITES_MAX (PLACE_SERVERS_MAX * 3 / 4)
 
 /* Candidates of one choice. */
 struct choice {
@@ -82,8 +82,8 @@
 	const struct be *except; /* or NULL */
 	int64_t now;
 	int last_resort; /* no server is usable: take those allowed as a last resort */
-	struct place_site s[PLACE_SITES_MAX];
-	struct be *at[PLACE_SITES_MAX];
+	struct place_server s[PLACE_SERVERS_MAX];
+	struct be *at[PLACE_SERVERS_MAX];
 	int n, full;
 	int passed_over[PACE_WHYS];
 };
@@ -93,7 +93,7 @@
 	return g_str_hash(rq_cfg->ip) * 2654435761u;
 }
 
-static int is_candidate(struct choice *c, struct be *b, struct place_site *s)
+static int is_candidate(struct choice *c, struct be *b, struct place_server *s)
 {
 	if (b == c->except) return 0;
 	if (c->last_resort)
@@ -106,7 +106,7 @@
 static int consider(struct be *b, void *arg)
 {
 	struct choice *c = arg;
-	struct place_site *s = &c->s[c->n];
+	struct place_server *s = &c->s[c->n];
 
 	rq_fill_site(s, b, c->r, c->dc, c->now);
 	if (!is_candidate(c, b, s)) return 1;
@@ -116,7 +116,7 @@
 	}
 	s->usable = 1;
 	c->at[c->n++] = b;
-	return c->n < PLACE_SITES_MAX;
+	return c->n < PLACE_SERVERS_MAX;
 }
 
 /* Valid until the next call. */
@@ -228,5 +228,5 @@
 	c = collect(r, &now, att->be->zone, att->be);
 	for (i = 0; i < c->n; i++)
 		if (c->at[i]->refused) c->s[i].usable = 0;
-	return chosen(c, place_backup(c->s, c->n, -1, &now, REPLICA_PERCENT, g_random_int()));
+	return chosen(c, place_replica(c->s, c->n, -1, &now, REPLICA_PERCENT, g_random_int()));
 }
--- a/src/relay/rq_rate.c
+++ b/src/relay/rq_rate.c
@@ -17,7 +17,7 @@
 	const struct rq *r;
 	int64_t now, least;
 	uint32_t parts;
-	struct quota_site s[PLACE_SITES_MAX];
+	struct quota_server s[PLACE_SERVERS_MAX];
 	struct be *first; /* the server with the next slot */
 	double answer_us; /* the shortest of their usual answer times; 0: none is known */
 	int n;
@@ -36,7 +36,7 @@
 	t->least = MIN(t->least, t->s[t->n].first_us);
 	if (b->latency_us > 0 && (!t->answer_us || b->latency_us < t->answer_us))
 		t->answer_us = b->latency_us;
-	return ++t->n < PLACE_SITES_MAX;
+	return ++t->n < PLACE_SERVERS_MAX;
 }
 
 static struct send_slots *collect(const struct rq *r)
@@ -75,7 +75,7 @@
 
 	if (t->first) *first = t->first;
 	rq_queue_ahead(r, RQ_WAIT_RATE, count_one, &ahead);
-	return quota_turn_us(t->s, t->n, ahead);
+	return quota_slot_us(t->s, t->n, ahead);
 }
 
 static int in_time(const struct rq *r, int64_t wait_us)
--- a/src/relay/rq_silent.c
+++ b/src/relay/rq_silent.c
@@ -29,7 +29,7 @@
 
 static int64_t report_interval_us(const struct rq *r)
 {
-	if (!r->event_us) return MAX(r->route->aim_us, REPORT_INTERVAL_US);
+	if (!r->event_us) return MAX(r->route->objective_us, REPORT_INTERVAL_US);
 	return r->stalls ? rq_stall_timeout_us(r) : REPORT_INTERVAL_US;
 }
 
--- a/src/relay/rq_time.c
+++ b/src/relay/rq_time.c
@@ -24,7 +24,7 @@
 	const struct attempt *att = r->attempt;
 
 	if (!att || !att->hx || att->answered || !rq_length_stats(r)->answers) return 0;
-	return clock_us() - att->sent_us >= r->route->aim_us;
+	return clock_us() - att->sent_us >= r->route->objective_us;
 }
 
 static void on_end_time(struct ev_timer *t)
@@ -48,7 +48,7 @@
 int64_t rq_prefill_us(const struct rq *r)
 {
 	if (!r->service->engine || !r->attempt) return 0;
-	return place_reading_us(rq_total_load(r->attempt->be).prefill);
+	return place_prefill_us(rq_total_load(r->attempt->be).prefill);
 }
 
 /* The silence of a busy engine is no sign of a failure: engines that were ejected for it left
@@ -65,8 +65,8 @@
 
 int64_t rq_answer_timeout_us(const struct rq *r)
 {
-	if (r->route->kind == CONF_STREAM) return r->route->aim_us + rq_prefill_us(r);
-	return MAX(r->route->aim_us * ANSWER_TIMEOUT_TENTHS / 10, ANSWER_TIMEOUT_MIN_US);
+	if (r->route->kind == CONF_STREAM) return r->route->objective_us + rq_prefill_us(r);
+	return MAX(r->route->objective_us * ANSWER_TIMEOUT_TENTHS / 10, ANSWER_TIMEOUT_MIN_US);
 }
 
 int64_t rq_stall_timeout_us(const struct rq *r)
--- a/src/relay/rq_wait.c
+++ b/src/relay/rq_wait.c
@@ -36,8 +36,8 @@
 /* Whether its first token still comes within the latency objective after such a wait. */
 static int in_time(const struct rq *r, int64_t wait_us)
 {
-	int64_t left_us = r->began_us + r->route->aim_us - clock_us();
-	double start_us = rq_length_stats(r)->start_us * START_FACTOR;
+	int64_t left_us = r->began_us + r->route->objective_us - clock_us();
+	double start_us = rq_length_stats(r)->first_token_us * START_FACTOR;
 
 	if (wait_us == FORECAST_NEVER) return 0;
 	return wait_us * WAIT_FACTOR + (int64_t)start_us <= left_us;
@@ -104,7 +104,8 @@
 		rq_place(r);
 		return 1;
 	}
-	wait_us = length_wait_us(rq_length_stats(r), memory_forecast_us(r, tokens_ahead(r)));
+	wait_us = length_corrected_wait_us(rq_length_stats(r),
+					   memory_forecast_us(r, tokens_ahead(r)));
 	if (in_time(r, wait_us)) return 0;
 	if (waited_us > r->forecast_us) observe_wait(r, waited_us);
 	refuse(r, wait_us);
@@ -133,7 +134,7 @@
 		return 1;
 	}
 	forecast_us = memory_forecast_us(r, ahead);
-	wait_us = length_wait_us(rq_length_stats(r), forecast_us);
+	wait_us = length_corrected_wait_us(rq_length_stats(r), forecast_us);
 	if (in_time(r, wait_us))
 		join_queue(r, forecast_us, wait_us);
 	else
