--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -13,7 +13,7 @@
 #include "mesh.h"
 #include "met.h"
 #include "pace.h"
-#include "poison.h"
+#include "quarantine.h"
 #include "probe.h"
 #include "ro.h"
 #include "roster.h"
@@ -59,7 +59,8 @@
 
 static int is_ready(void)
 {
-	return !drain_us && board_conf() && be_all()->len && conf_is_fresh() && poison_known();
+	return !drain_us && board_conf() && be_all()->len && conf_is_fresh() &&
+	       quarantine_ready();
 }
 
 static void on_state(struct ev_timer *t)
@@ -93,11 +94,11 @@
 static void answer_where(struct hs *h)
 {
 	static const char *all[ADDRESSES_CANDIDATES];
-	struct dl_where w;
+	struct dl_resolve w;
 	GString *out;
 	int n;
 
-	dl_read_where(&h->hp.head, &w);
+	dl_read_resolve(&h->hp.head, &w);
 	n = mesh_addresses(all, ADDRESSES_CANDIDATES, w.region[0] ? w.region : NULL,
 			   board_conf() && conf_binds_regions(board_conf(), w.host));
 	if (!n) {
@@ -106,16 +107,16 @@
 	}
 	out = g_string_new(NULL);
 	shuffle(all, n);
-	dl_write_where(out, all, MIN(n, ADDRESSES_MAX), (double)ttl_us() / 1e6);
+	dl_write_resolve(out, all, MIN(n, ADDRESSES_MAX), (double)ttl_us() / 1e6);
 	hs_answer(h, 200, "Content-Type: application/json\r\n", out->str, out->len);
 	g_string_free(out, TRUE);
 }
 
 static void on_question(struct hs *h)
 {
-	switch (dl_question(&h->hp.head)) {
+	switch (dl_query(&h->hp.head)) {
 	case DL_READY: answer_ready(h); return;
-	case DL_WHERE: answer_where(h); return;
+	case DL_RESOLVE: answer_where(h); return;
 	case DL_NONE: hs_answer(h, 404, NULL, "", 0); return;
 	}
 }
@@ -145,9 +146,9 @@
 	front.limits =
 		(struct hs_limits){CONF_HEAD_MAX, CONF_BODY_MAX, CONF_HEAD_US, CONF_IDLE_US};
 	front.on_request = rq_on_request;
-	front.on_left = rq_on_left;
+	front.on_disconnect = rq_on_left;
 	front.on_drain = rq_on_drain;
-	front.on_bad = on_bad;
+	front.on_reject = on_bad;
 	ready.limits = directory.limits = metrics.limits = inner;
 	ready.on_request = directory.on_request = on_question;
 	metrics.on_request = metrics_on_request;
@@ -206,7 +207,7 @@
 	be_on_ended = rq_on_ended;
 	probe_on_report = rq_on_report;
 	be_is_instance = mesh_is_instance;
-	ev_on_wake = on_wake;
+	ev_on_resume = on_wake;
 	init_listeners();
 	board_init();
 	rq_init(c);
--- a/src/entry/metrics.c
+++ b/src/entry/metrics.c
@@ -3,7 +3,7 @@
 #include "entry_metrics.h"
 #include "jlog.h"
 #include "met.h"
-#include "poison.h"
+#include "quarantine.h"
 #include <errno.h>
 #include <string.h>
 
@@ -32,14 +32,14 @@
 {
 	GString *out = g_string_new(NULL);
 
-	poison_write(out);
+	quarantine_write(out);
 	hs_answer(h, 200, "Content-Type: application/json\r\n", out->str, out->len);
 	g_string_free(out, TRUE);
 }
 
 static void clear(struct hs *h, const char *fingerprint)
 {
-	switch (poison_clear(fingerprint)) {
+	switch (quarantine_clear(fingerprint)) {
 	case 0: hs_answer(h, 204, NULL, "", 0); return;
 	case -EINVAL: hs_answer(h, 400, NULL, "no fingerprint\n", 15); return;
 	default: hs_answer(h, 404, NULL, "not blocked\n", 12); return;
--- a/src/fleet/bx.c
+++ b/src/fleet/bx.c
@@ -37,15 +37,15 @@
 	struct dl_notice n;
 
 	if (dl_read_notice(&x->hp.head, &n)) return;
-	if (n.unread) note_unread(p->be, n.unread);
+	if (n.invalid) note_unread(p->be, n.invalid);
 	if (n.leaving) leave_said(p->be, "its own answer");
 	if (n.cold_us) be_cold(p->be, n.cold_us);
-	if (n.rest_us)
-		pace_rest(p->be, n.rest_us);
+	if (n.backoff_us)
+		pace_rest(p->be, n.backoff_us);
 	else if (p->after_rest)
 		pace_went_well(p->be);
 	/* A number that can't be used lifts no limit. */
-	if (n.limit_per_s >= 0 || !n.names_limit) limit_said(p->be, n.limit_per_s, x->began_us);
+	if (n.limit_per_s >= 0 || !n.has_limit) limit_said(p->be, n.limit_per_s, x->began_us);
 }
 
 static void peer_free(void *peer)
--- a/src/fleet/mesh.c
+++ b/src/fleet/mesh.c
@@ -2,7 +2,7 @@
 #include "clock.h"
 #include "mesh_impl.h"
 #include "met.h"
-#include "poison.h"
+#include "quarantine.h"
 #include "watch.h"
 
 /* Whoever hears nobody for so long after it stood still goes on alone: three beats. */
@@ -106,7 +106,7 @@
 			      .store_late = self_store_late,
 			      .link_mbps = cfg->link_mbps,
 			      .serves = mesh_self_serves(),
-			      .verdicts = poison_digest(),
+			      .verdicts = quarantine_digest(),
 			      .orders = board_orders_digest(),
 			      .from = watch_backends_from(),
 			      .dc = mesh_self_dc(),
--- a/src/fleet/mesh_fetch.c
+++ b/src/fleet/mesh_fetch.c
@@ -240,7 +240,7 @@
 	fetch->buf = g_string_new(NULL);
 	fetch->from = m;
 	fetch->ours = 1;
-	fetch->cn.on_up = on_fetch_up;
+	fetch->cn.on_connected = on_fetch_up;
 	fetch->cn.on_data = on_fetch_data;
 	fetch->cn.on_end = on_fetch_end;
 	received = 0;
--- a/src/fleet/mesh_link.c
+++ b/src/fleet/mesh_link.c
@@ -3,7 +3,7 @@
 #include "jlog.h"
 #include "mesh_impl.h"
 #include "met.h"
-#include "poison.h"
+#include "quarantine.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <stddef.h>
@@ -45,7 +45,7 @@
 	mesh_write_topics(out);
 	mesh_write_verdicts(out);
 	if (!m->heard_us || m->said.serves) {
-		poison_write_told(out);
+		quarantine_write_reports(out);
 		mesh_write_all_loads(out);
 	}
 	mesh_write_own_beat(out, m, 1);
@@ -61,7 +61,7 @@
 	m->next_connect_us = clock_us() + RECONNECT_US;
 	if (inet_pton(AF_INET, m->ip, &to.sin_addr) != 1) return;
 	m->link = (struct cn){
-		.on_up = on_link_up, .on_data = on_link_data, .on_end = on_link_end};
+		.on_connected = on_link_up, .on_data = on_link_data, .on_end = on_link_end};
 	cn_connect(&m->link, &to);
 }
 
--- a/src/fleet/mesh_members.c
+++ b/src/fleet/mesh_members.c
@@ -2,7 +2,7 @@
 #include "clock.h"
 #include "jlog.h"
 #include "mesh_impl.h"
-#include "poison.h"
+#include "quarantine.h"
 #include <arpa/inet.h>
 #include <string.h>
 
@@ -110,7 +110,7 @@
 	GString *out = g_string_new(NULL);
 
 	mesh_write_topics(out);
-	poison_write_told(out);
+	quarantine_write_reports(out);
 	mesh_write_all_loads(out);
 	mesh_send(m, out);
 	g_string_free(out, TRUE);
--- a/src/fleet/mesh_poison.c
+++ b/src/fleet/mesh_poison.c
@@ -39,14 +39,15 @@
 
 /* ---- ends ---- */
 
-void mesh_write_end(GString *out, const struct poison_told_end *e, const struct poison_run *run)
+void mesh_write_end(GString *out, const struct quarantine_crash *e,
+		    const struct quarantine_run *run)
 {
 	int i, n = MIN(e->n, RUNS_MOST);
 	struct mesh_frame f;
 	msgpack_packer *p = mesh_frame_begin(&f, MESH_ENDED, 4 + 2 * n);
 
 	mesh_pack_text(p, e->server);
-	msgpack_pack_int64(p, e->life);
+	msgpack_pack_int64(p, e->incarnation_ms);
 	msgpack_pack_int64(p, e->ago_us / 1000);
 	for (i = 0; i < n; i++) {
 		pack_fp(p, &run[i].fp);
@@ -61,7 +62,7 @@
 	g_string_free(out, TRUE);
 }
 
-void mesh_tell_end(const struct poison_told_end *e, const struct poison_run *run)
+void mesh_tell_end(const struct quarantine_crash *e, const struct quarantine_run *run)
 {
 	GString *out = g_string_new(NULL);
 
@@ -69,7 +70,7 @@
 	send_serving(out);
 }
 
-static int read_runs(const msgpack_object_array *a, struct poison_run *run, int n)
+static int read_runs(const msgpack_object_array *a, struct quarantine_run *run, int n)
 {
 	int i;
 
@@ -82,17 +83,17 @@
 
 static int take_end(const struct member *m, const msgpack_object_array *a)
 {
-	struct poison_told_end e;
-	struct poison_run *run;
+	struct quarantine_crash e;
+	struct quarantine_run *run;
 	int rc;
 
 	if (a->size < 4 || mesh_text(&a->ptr[1], e.server, sizeof e.server)) return -EBADMSG;
-	e.life = mesh_int(&a->ptr[2]);
+	e.incarnation_ms = mesh_int(&a->ptr[2]);
 	e.ago_us = read_ago_us(&a->ptr[3]);
 	e.n = MIN((int)(a->size - 4) / 2, RUNS_MOST);
-	run = g_new(struct poison_run, MAX(e.n, 1));
+	run = g_new(struct quarantine_run, MAX(e.n, 1));
 	rc = read_runs(a, run, e.n);
-	if (!rc) poison_hear_end(m->said.name, &e, run);
+	if (!rc) quarantine_recv_crash(m->said.name, &e, run);
 	g_free(run);
 	return rc;
 }
@@ -141,9 +142,9 @@
 
 	if (a->size < 3 || read_fp(&a->ptr[1], &fp)) return -EBADMSG;
 	if (mesh_int(&a->ptr[0]) == MESH_THROUGH)
-		poison_hear_through(&fp, read_ago_us(&a->ptr[2]));
+		quarantine_recv_success(&fp, read_ago_us(&a->ptr[2]));
 	else
-		poison_hear_under_way(m->said.name, &fp, read_count(&a->ptr[2]));
+		quarantine_recv_inflight(m->said.name, &fp, read_count(&a->ptr[2]));
 	return 0;
 }
 
@@ -186,10 +187,10 @@
 	msgpack_packer *p;
 	int n = 0;
 
-	poison_each_verdict(count_verdict, &n);
+	quarantine_each_verdict(count_verdict, &n);
 	p = mesh_frame_begin(&f, MESH_VERDICTS, 2 + VERDICT_FIELDS * n);
-	msgpack_pack_int(p, poison_known() ? MESH_ALL_KNOWN : MESH_ALL);
-	poison_each_verdict(pack_verdict, p);
+	msgpack_pack_int(p, quarantine_ready() ? MESH_ALL_KNOWN : MESH_ALL);
+	quarantine_each_verdict(pack_verdict, p);
 	mesh_frame_end(&f, out);
 }
 
@@ -201,10 +202,11 @@
 
 	for (k = 2; k + VERDICT_FIELDS <= a->size; k += VERDICT_FIELDS) {
 		if (read_fp(&a->ptr[k], &fp)) return -EBADMSG;
-		poison_hear_verdict(m->said.name, &fp, read_count(&a->ptr[k + 1]),
-				    read_count(&a->ptr[k + 2]), read_ago_us(&a->ptr[k + 3]));
+		quarantine_recv_verdict(m->said.name, &fp, read_count(&a->ptr[k + 1]),
+					read_count(&a->ptr[k + 2]),
+					read_ago_us(&a->ptr[k + 3]));
 	}
-	if (all) poison_heard_all(all == MESH_ALL_KNOWN);
+	if (all) quarantine_recv_done(all == MESH_ALL_KNOWN);
 	return 0;
 }
 
@@ -223,7 +225,7 @@
 {
 	GString *out;
 
-	if (m->said.verdicts == poison_digest()) return;
+	if (m->said.verdicts == quarantine_digest()) return;
 	out = g_string_new(NULL);
 	mesh_write_verdicts(out);
 	mesh_send(m, out);
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -62,9 +62,11 @@
 static void take_check(struct be *b, const struct hp_head *head)
 {
 	switch (dl_read_check(head, b->id)) {
-	case DL_STRANGER: leave_said(b, "another incarnation answers at its address"); return;
+	case DL_OTHER_INCARNATION:
+		leave_said(b, "another incarnation answers at its address");
+		return;
 	case DL_FAILING: leave_suspected(b, "its health check"); return;
-	case DL_SOUND:
+	case DL_HEALTHY:
 	case DL_UNKNOWN: return;
 	}
 }
@@ -74,7 +76,7 @@
 	struct dl_report r;
 
 	dl_read_report(body->str, body->len, &r);
-	if (!be_is_life(b, r.born_ms) && r.born_ms > b->born_ms)
+	if (!be_is_life(b, r.incarnation_ms) && r.incarnation_ms > b->born_ms)
 		be_end_life(b, "its own report");
 	else if (r.leaving)
 		leave_said(b, "its own report");
--- /dev/null
+++ b/src/fleet/quarantine.c
@@ -0,0 +1,351 @@
+/* Collects evidence against requests that crash servers, judges them, and exchanges evidence
+ * and verdicts with the other instances. */
+#include "quarantine.h"
+#include "clock.h"
+#include "ev.h"
+#include "mesh.h"
+#include "mesh_poison.h"
+#include "met.h"
+#include "quarantine_impl.h"
+#include <errno.h>
+
+/* Delay from a crash to the verdict: each instance that had a run on the server detects the
+ * crash by itself, some sooner than others. */
+#define JUDGE_US 200000
+#define ANSWER_POLL_US 5000 /* how often the answers of the others are polled */
+/* Peers that hold verdicts send them to a starting instance within some ms of its first links.
+ */
+#define SYNC_US 100000
+#define SYNC_MAX_US 1000000 /* no peer is reached by then: it serves without their verdicts */
+/* Suspects are watched for this long after a crash: by then the runs of that time have answered
+ * or crashed more servers. */
+#define WATCH_US INFLIGHT_KEEP_US
+/* Interval of the scans of suspects; counts of runs sent to others are at most this old. */
+#define SCAN_US 20000
+
+static struct quar *table;
+static const struct quarantine_hooks *hooks;
+static struct ev_timer judge_timer, scan_timer;
+static int ready;
+static int64_t evidence_us; /* when the last evidence of a crash came */
+static int64_t query_us;    /* when the others were asked for theirs; 0: no query is open */
+static int64_t started_us;
+static int64_t synced_us; /* when a peer first sent all its verdicts; 0: none yet */
+
+/* ---- verdicts ---- */
+
+static void count_blocked(const struct quar_suspect *s, void *n)
+{
+	*(int *)n += quar_is_blocked(s);
+}
+
+static void verdict_changed(const struct quar_suspect *s, const char *reported_by)
+{
+	struct fp fp = s->fp;
+	int n = 0;
+
+	quar_each(table, count_blocked, &n);
+	met_set(MET_G_BLOCKED, n);
+	quarantine_log_verdict(table, s, reported_by);
+	if (!quar_is_blocked(s)) return;
+	met_add(MET_BLOCKED, 1);
+	hooks->quarantined(&fp);
+}
+
+static void on_quarantined(const struct quar_suspect *s, void *arg)
+{
+	(void)arg;
+	mesh_tell_verdict(s);
+	verdict_changed(s, "its ends");
+}
+
+static void judge(int64_t now)
+{
+	int64_t settled_us = query_us - JUDGE_US;
+
+	quar_judge(table, be_all()->len, settled_us, now, on_quarantined, NULL);
+	if (evidence_us > settled_us)
+		ev_in(&judge_timer, MAX(JUDGE_US - (now - evidence_us), ANSWER_POLL_US));
+	query_us = 0;
+}
+
+/* Judges only after every serving instance has answered a query. Evidence that another request
+ * crashed these servers, or that this one succeeded elsewhere, may still be in flight, or
+ * unread after a suspension of this process. */
+static void on_judge(struct ev_timer *t)
+{
+	int64_t now = clock_us();
+
+	if (!mesh_is_awake()) {
+		query_us = 0;
+		ev_in(t, JUDGE_US);
+		return;
+	}
+	if (!query_us) {
+		query_us = now;
+		mesh_ask_serving();
+	}
+	if (mesh_have_answered(query_us))
+		judge(now);
+	else
+		ev_in(t, ANSWER_POLL_US);
+}
+
+static void schedule_judgement(void)
+{
+	evidence_us = clock_us();
+	if (!judge_timer.armed) ev_in(&judge_timer, JUDGE_US);
+	if (!scan_timer.armed) ev_in(&scan_timer, SCAN_US);
+}
+
+/* ---- successful runs ---- */
+
+/* Records that a run of this instance succeeded at that time; sends it to the others if it
+ * changes anything. */
+static void record_success(const struct fp *fp, int64_t at_us)
+{
+	int changed = quar_sound(table, fp, at_us);
+
+	if (!changed) return;
+	mesh_tell_through(fp, clock_us() - at_us);
+	if (changed < 2) return;
+	mesh_tell_verdict(quar_find(table, fp));
+	verdict_changed(quar_find(table, fp), "a run that came through");
+}
+
+static void record_remembered_success(const struct fp *fp)
+{
+	int64_t at_us = success_last_us(fp);
+
+	if (at_us) record_success(fp, at_us);
+}
+
+void quarantine_note_success(const struct fp *fp)
+{
+	int64_t now = clock_us();
+
+	success_note(fp, now);
+	if (!quar_empty(table)) record_success(fp, now);
+}
+
+void quarantine_recv_success(const struct fp *fp, int64_t ago_us)
+{
+	if (quar_sound(table, fp, clock_us() - ago_us) < 2) return;
+	verdict_changed(quar_find(table, fp), "a run that came through elsewhere");
+}
+
+/* ---- crashes ---- */
+
+static void record_crash(const char *server, int64_t incarnation_ms, const char *seen_by,
+			 int64_t at_us, const struct quarantine_run *run, int n)
+{
+	uint32_t ncrashes = table->nends,
+		 crash = quar_ended(table, server, incarnation_ms, seen_by, at_us);
+	int i, changed = table->nends != ncrashes, more = 0;
+
+	if (changed) quarantine_log_crash(server, seen_by, n);
+	for (i = 0; i < n; i++) more += quar_ran(table, &run[i].fp, crash, run[i].ran_us);
+	if (more && !changed) quarantine_log_crash_report(server, seen_by, more, at_us);
+	changed |= more;
+	for (i = 0; i < n; i++) record_remembered_success(&run[i].fp);
+	if (changed) schedule_judgement();
+}
+
+void quarantine_note_crash(const struct be *b, const struct quarantine_run *run, int n,
+			   int64_t at_us)
+{
+	int64_t now = clock_us();
+	struct quarantine_crash e = {
+		.incarnation_ms = b->born_ms, .ago_us = now - at_us, .n = n};
+
+	met_add(MET_BACKENDS_ENDED, 1);
+	g_strlcpy(e.server, b->id, sizeof e.server);
+	mesh_tell_end(&e, run);
+	recent_note(b, run, n, at_us, now);
+	record_crash(b->id, b->born_ms, mesh_self_name(), at_us, run, n);
+}
+
+void quarantine_recv_crash(const char *from, const struct quarantine_crash *e,
+			   const struct quarantine_run *run)
+{
+	record_crash(e->server, e->incarnation_ms, from, clock_us() - e->ago_us, run, e->n);
+}
+
+struct scan {
+	int64_t now;
+	int watched;
+	GArray *healthy; /* of struct fp; applied after the iteration, which must not change the
+			    table */
+};
+
+/* Whether servers crashed under it lately, or it is due for a trial run. */
+static int is_watched(const struct quar_suspect *s, int64_t now)
+{
+	int64_t last_us = s->nruns ? s->run[s->nruns - 1].at_us : 0;
+
+	if (quar_is_blocked(s)) return now >= quar_until_us(s);
+	return now - last_us < WATCH_US && quar_count(table, s);
+}
+
+static void scan_suspect(const struct quar_suspect *s, void *arg)
+{
+	struct scan *l = arg;
+	int healthy = 0;
+	uint32_t n;
+
+	if (!is_watched(s, l->now)) {
+		inflight_send(&s->fp, 0);
+		return;
+	}
+	l->watched = 1;
+	n = hooks->unanswered(&s->fp, &healthy);
+	if (healthy) g_array_append_val(l->healthy, s->fp);
+	inflight_send(&s->fp, n);
+}
+
+/* Scans suspects until they are cleared or quarantined, or their crashes are old. */
+static void on_scan(struct ev_timer *t)
+{
+	struct scan l = {.now = clock_us()};
+	uint32_t i;
+
+	l.healthy = g_array_new(FALSE, FALSE, sizeof(struct fp));
+	quar_each(table, scan_suspect, &l);
+	for (i = 0; i < l.healthy->len; i++)
+		record_success(&g_array_index(l.healthy, struct fp, i), l.now);
+	g_array_free(l.healthy, TRUE);
+	if (l.watched) ev_in(t, SCAN_US);
+}
+
+/* ---- admission of runs ---- */
+
+int quarantine_has_suspects(void)
+{
+	return !quar_empty(table);
+}
+
+enum quar_answer quarantine_check(const struct fp *fp, uint32_t here)
+{
+	int64_t now = clock_us();
+	enum quar_answer a = quar_ask(table, fp, here + inflight_count(fp, now), now);
+
+	if (a == QUAR_TRIAL && !scan_timer.armed) ev_in(&scan_timer, 0);
+	return a;
+}
+
+/* ---- verdicts of other instances ---- */
+
+void quarantine_recv_verdict(const char *from, const struct fp *fp, uint32_t round,
+			     uint32_t cleared, int64_t ago_us)
+{
+	const struct quar_suspect *s;
+
+	if (!quar_hear(table, fp, round, cleared, clock_us() - ago_us)) return;
+	s = quar_find(table, fp);
+	if (mesh_self_hub()) mesh_tell_verdict(s);
+	verdict_changed(s, from);
+	record_remembered_success(fp);
+}
+
+uint64_t quarantine_digest(void)
+{
+	return table ? quar_digest(table) : 0;
+}
+
+struct each {
+	void (*f)(const struct quar_suspect *s, void *arg);
+	void *arg;
+};
+
+static void each_verdict(const struct quar_suspect *s, void *arg)
+{
+	const struct each *e = arg;
+
+	if (s->round) e->f(s, e->arg);
+}
+
+void quarantine_each_verdict(void (*f)(const struct quar_suspect *s, void *arg), void *arg)
+{
+	struct each e = {f, arg};
+
+	quar_each(table, each_verdict, &e);
+}
+
+void quarantine_recv_inflight(const char *from, const struct fp *fp, uint32_t n)
+{
+	inflight_recv(from, fp, n);
+}
+
+/* ---- repeated reports ---- */
+
+struct write {
+	GString *out;
+	int64_t now;
+};
+
+/* Successes are repeated with the crashes: a peer that received the crashes alone would
+ * quarantine requests that have succeeded since. */
+static void write_success(const struct quar_suspect *s, void *arg)
+{
+	const struct write *w = arg;
+	int64_t ago_us = w->now - s->sound_us;
+
+	if (s->sound_us && ago_us <= RECENT_CRASH_US)
+		mesh_write_through(w->out, &s->fp, ago_us);
+}
+
+void quarantine_write_reports(GString *out)
+{
+	struct write w = {out, clock_us()};
+
+	if (!table) return;
+	recent_write(out, w.now);
+	quar_each(table, write_success, &w);
+	inflight_write(out);
+}
+
+/* ---- start ---- */
+
+void quarantine_recv_done(int complete)
+{
+	if (complete) ready = 1;
+	if (!synced_us) synced_us = clock_us();
+}
+
+int quarantine_ready(void)
+{
+	int64_t now = clock_us();
+
+	if (ready) return 1;
+	if (synced_us && now - synced_us >= SYNC_US) ready = 1;
+	if (mesh_known() == 1 && now - started_us >= SYNC_US) ready = 1;
+	if (now - started_us >= SYNC_MAX_US) ready = 1;
+	return ready;
+}
+
+void quarantine_start(int first_start, const struct quarantine_hooks *h)
+{
+	hooks = h;
+	table = quar_new();
+	judge_timer.fire = on_judge;
+	scan_timer.fire = on_scan;
+	started_us = clock_us();
+	ready = first_start;
+}
+
+void quarantine_write(GString *out)
+{
+	quarantine_write_list(out, table);
+}
+
+int quarantine_clear(const char *fingerprint)
+{
+	struct fp fp;
+	int rc = fp_read(fingerprint, &fp);
+
+	if (!rc) rc = quar_clear(table, &fp, clock_us());
+	if (rc) return rc;
+	mesh_tell_verdict(quar_find(table, &fp));
+	verdict_changed(quar_find(table, &fp), "an operator");
+	return 0;
+}
--- a/src/fleet/poison_recent.c
+++ b/src/fleet/quarantine_recent.c
@@ -1,18 +1,18 @@
-/* Ends of backend servers that this instance saw lately: told again to whoever may have missed
- * the first word of them. */
+/* Recent crashes of backend servers that this instance saw, kept to repeat them to peers that
+ * may have missed the first report. */
 #include "mesh_poison.h"
-#include "poison_impl.h"
+#include "quarantine_impl.h"
 #include <string.h>
 
-#define RECENT_MAX 64 /* ends: the oldest go first */
+#define RECENT_MAX 64 /* crashes; the oldest are dropped first */
 
 struct recent {
 	char server[QUAR_NAME];
-	int64_t life, at_us;
-	GArray *run; /* of struct poison_run */
+	int64_t incarnation_ms, at_us;
+	GArray *run; /* of struct quarantine_run */
 };
 
-static GPtrArray *recent; /* of struct recent, the oldest first */
+static GPtrArray *recent; /* of struct recent, oldest first */
 
 static void recent_free(gpointer p)
 {
@@ -28,12 +28,12 @@
 
 	while (recent->len) {
 		first = g_ptr_array_index(recent, 0);
-		if (recent->len < RECENT_MAX && now - first->at_us <= RECENT_US) return;
+		if (recent->len < RECENT_MAX && now - first->at_us <= RECENT_CRASH_US) return;
 		g_ptr_array_remove_index(recent, 0);
 	}
 }
 
-void recent_note(const struct be *b, const struct poison_run *run, int n, int64_t at_us,
+void recent_note(const struct be *b, const struct quarantine_run *run, int n, int64_t at_us,
 		 int64_t now)
 {
 	struct recent *r = g_new0(struct recent, 1);
@@ -41,7 +41,7 @@
 	if (!recent) recent = g_ptr_array_new_with_free_func(recent_free);
 	drop_old(now);
 	g_strlcpy(r->server, b->id, sizeof r->server);
-	r->life = b->born_ms;
+	r->incarnation_ms = b->born_ms;
 	r->at_us = at_us;
 	r->run = g_array_sized_new(FALSE, FALSE, sizeof *run, (guint)n);
 	g_array_append_vals(r->run, run, (guint)n);
@@ -54,11 +54,12 @@
 
 	for (i = 0; recent && i < recent->len; i++) {
 		const struct recent *r = g_ptr_array_index(recent, i);
-		struct poison_told_end e = {
-			.life = r->life, .ago_us = now - r->at_us, .n = (int)r->run->len};
+		struct quarantine_crash e = {.incarnation_ms = r->incarnation_ms,
+					     .ago_us = now - r->at_us,
+					     .n = (int)r->run->len};
 
-		if (e.ago_us > RECENT_US) continue;
+		if (e.ago_us > RECENT_CRASH_US) continue;
 		g_strlcpy(e.server, r->server, sizeof e.server);
-		mesh_write_end(out, &e, (const struct poison_run *)(void *)r->run->data);
+		mesh_write_end(out, &e, (const struct quarantine_run *)(void *)r->run->data);
 	}
 }
--- a/src/fleet/poison_write.c
+++ b/src/fleet/quarantine_write.c
@@ -1,9 +1,9 @@
-/* Verdicts and ends as operators read them: log lines, and a list. */
+/* Log lines of crashes and verdicts, and the list of quarantined requests for operators. */
 #include "clock.h"
 #include "jlog.h"
-#include "poison_impl.h"
+#include "quarantine_impl.h"
 
-static void add_ends(GString *g, const struct quar *q, const struct quar_suspect *s)
+static void add_crashes(GString *g, const struct quar *q, const struct quar_suspect *s)
 {
 	GString *servers = g_string_new(NULL), *seen_by = g_string_new(NULL);
 	int i;
@@ -21,7 +21,8 @@
 	g_string_free(seen_by, TRUE);
 }
 
-void poison_log_verdict(const struct quar *q, const struct quar_suspect *s, const char *said_by)
+void quarantine_log_verdict(const struct quar *q, const struct quar_suspect *s,
+			    const char *reported_by)
 {
 	GString *g = jlog_begin("fleet",
 				quar_is_blocked(s) ? "request_blocked" : "request_unblocked");
@@ -29,13 +30,13 @@
 
 	fp_write(&s->fp, print);
 	jlog_str(g, "fingerprint", print);
-	jlog_str(g, "said_by", said_by);
+	jlog_str(g, "said_by", reported_by);
 	jlog_int(g, "round", s->round);
-	add_ends(g, q, s);
+	add_crashes(g, q, s);
 	jlog_end(g);
 }
 
-void poison_log_end(const char *server, const char *seen_by, int runs)
+void quarantine_log_crash(const char *server, const char *seen_by, int runs)
 {
 	GString *g = jlog_begin("fleet", "backend_ended");
 
@@ -45,18 +46,19 @@
 	jlog_end(g);
 }
 
-void poison_log_end_told(const char *server, const char *said_by, int runs, int64_t at_us)
+void quarantine_log_crash_report(const char *server, const char *reported_by, int runs,
+				 int64_t at_us)
 {
 	GString *g = jlog_begin("fleet", "backend_end_told");
 
 	jlog_str(g, "backend", server);
-	jlog_str(g, "said_by", said_by);
+	jlog_str(g, "said_by", reported_by);
 	jlog_int(g, "runs", runs);
 	jlog_int(g, "ago_ms", (clock_us() - at_us) / 1000);
 	jlog_end(g);
 }
 
-struct list { /* that is being written */
+struct list { /* the JSON list that is being written */
 	GString *out;
 	const struct quar *q;
 };
@@ -85,7 +87,7 @@
 	g_string_append(out, "]}");
 }
 
-void poison_write_blocked(GString *out, const struct quar *q)
+void quarantine_write_list(GString *out, const struct quar *q)
 {
 	struct list l = {out, q};
 
--- a/src/fleet/ro.c
+++ b/src/fleet/ro.c
@@ -1,7 +1,7 @@
 /*
- * Orders to bring in a version, and what follows from them here. Every instance keeps to its
- * own part of what canaries may get, judges by the answers of all, and stops at once where it
- * finds the version bad; that it is good is for those to say who write to the store.
+ * Rollouts of new versions. Every instance keeps to its own part of the canary requests, judges
+ * by the results of all instances, and rolls back at once if it finds the version bad. Only the
+ * instances that write to the store advance a good version.
  */
 #include "board.h"
 #include "clock.h"
@@ -26,15 +26,15 @@
 void ro_add(struct ro *o)
 {
 	g_hash_table_insert(orders, o->service, o);
-	ro_tick_soon();
+	ro_schedule_tick();
 }
 
-void ro_forget(struct ro *o)
+void ro_remove(struct ro *o)
 {
 	g_hash_table_remove(orders, o->service);
 }
 
-void ro_tick_soon(void)
+void ro_schedule_tick(void)
 {
 	if (!ticker.armed) ev_in(&ticker, TICK_US);
 }
@@ -58,7 +58,7 @@
 	return o->stage == ROLLOUT_ROLLED_BACK || o->stage == ROLLOUT_COMPLETED;
 }
 
-static void log_stage(const struct ro *o, const char *said_by)
+static void log_stage(const struct ro *o, const char *reported_by)
 {
 	static const char *const names[ROLLOUT_STAGES] = {"unknown", "canary", "shift",
 							  "rolled_back", "completed"};
@@ -67,7 +67,7 @@
 	jlog_str(g, "service", o->service);
 	jlog_str(g, "version", o->target);
 	jlog_str(g, "stage", names[o->stage]);
-	jlog_str(g, "said_by", said_by);
+	jlog_str(g, "said_by", reported_by);
 	jlog_int(g, "age_ms", (clock_us() - o->began_us) / 1000);
 	jlog_int(g, "requests", (int64_t)o->use.requests);
 	jlog_int(g, "exposed", (int64_t)o->use.exposed);
@@ -89,23 +89,22 @@
 	jlog_end(g);
 }
 
-/* What the stage means for servers. */
 void ro_apply(struct ro *o)
 {
 	struct rollout_state s = ro_state(o);
 
 	ro_choose_canaries(o);
 	if (o->stage == ROLLOUT_ROLLED_BACK) be_bar_version(o->service, o->target, 1);
-	if (rollout_moves_off(&s)) ro_bar_old(o);
+	if (rollout_moves_off(&s)) ro_block_old(o);
 }
 
-int ro_rise(struct ro *o, enum rollout_stage s, const char *said_by)
+int ro_advance(struct ro *o, enum rollout_stage s, const char *reported_by)
 {
 	if (s <= o->stage || s >= ROLLOUT_STAGES) return 0;
 	o->stage = s;
 	if (s == ROLLOUT_SHIFT) o->shift_us = clock_us();
 	met_add(MET_ROLLBACKS, s == ROLLOUT_ROLLED_BACK);
-	log_stage(o, said_by);
+	log_stage(o, reported_by);
 	ro_apply(o);
 	return 1;
 }
@@ -116,7 +115,7 @@
 
 	return (struct rollout_state){.stage = o->stage,
 				      .age_us = now - o->began_us,
-				      .for_us = o->for_us,
+				      .for_us = o->duration_us,
 				      .shifted_us = o->shift_us ? now - o->shift_us : 0};
 }
 
@@ -127,27 +126,27 @@
 	struct rollout_reason why;
 	enum rollout_stage next;
 
-	ro_sum(o, &sum);
+	ro_sum_tallies(o, &sum);
 	s.verdict =
 		rollout_judge(&sum, s.age_us >= (int64_t)(s.for_us * ROLLOUT_LAST_PART), &why);
 	s.old_runs = ro_old_runs(o);
 	next = rollout_next(&s);
 	if (next == o->stage) return;
 	if (next == ROLLOUT_ROLLED_BACK) log_verdict(o, &why);
-	/* One that finds it bad stops it; the rest is for those who write. */
+	/* Any instance may roll back; only the writers advance it otherwise. */
 	if (next != ROLLOUT_ROLLED_BACK && !mesh_watches()) return;
 	if (next == ROLLOUT_COMPLETED) {
 		ro_write_completed(o);
 		return;
 	}
-	if (ro_rise(o, next, "this instance")) ro_tell_stage(o);
+	if (ro_advance(o, next, "this instance")) ro_send_stage(o);
 }
 
 static void tick(struct ro *o, void *pending)
 {
 	if (!ro_is_over(o)) {
 		ro_apply(o);
-		ro_tell_own(o);
+		ro_send_own(o);
 		judge(o);
 	}
 	ro_write_status(o);
--- a/src/fleet/ro_choose.c
+++ b/src/fleet/ro_choose.c
@@ -1,4 +1,4 @@
-/* Which servers get what while a version is brought in, and what their answers tell. */
+/* Chooses servers during a rollout and counts the results of their exchanges. */
 #include "clock.h"
 #include "mesh.h"
 #include "met.h"
@@ -6,8 +6,8 @@
 #include <math.h>
 #include <string.h>
 
-#define BROKE_US 1000000 /* what breaks off within it at one server counts once */
-#define CANARIES_MIN 2   /* servers: one may fail by itself */
+#define BROKEN_US 1000000 /* exchanges that break within it at one server count once */
+#define CANARIES_MIN 2    /* servers: a single one may fail for a reason of its own */
 
 uint32_t ro_part_of(const struct be *b)
 {
@@ -25,25 +25,25 @@
 	return x < y ? -1 : x > y;
 }
 
-/* All instances choose the same few, which so get as much as servers of the old version: some
- * versions are bad under load alone. */
+/* All instances choose the same few canaries, so that each gets as much load as a server of the
+ * old version: some versions fail only under load. */
 void ro_choose_canaries(const struct ro *o)
 {
 	const GPtrArray *list = be_of(o->service);
-	GPtrArray *of_new = g_ptr_array_new();
-	uint32_t i, most;
+	GPtrArray *candidates = g_ptr_array_new();
+	uint32_t i, max;
 
 	for (i = 0; list && i < list->len; i++) {
 		struct be *b = g_ptr_array_index(list, i);
 
 		b->ro_part = ro_part_of(b);
-		if (b->ro_part == RO_NEW && !be_leaves(b)) g_ptr_array_add(of_new, b);
+		if (b->ro_part == RO_NEW && !be_leaves(b)) g_ptr_array_add(candidates, b);
 	}
-	qsort(of_new->pdata, of_new->len, sizeof *of_new->pdata, by_hash);
-	most = MAX((uint32_t)ceil(of_new->len * ro_cfg->exposure_share), CANARIES_MIN);
-	for (i = 0; i < of_new->len && i < most; i++)
-		((struct be *)g_ptr_array_index(of_new, i))->ro_part = RO_CANARY;
-	g_ptr_array_free(of_new, TRUE);
+	qsort(candidates->pdata, candidates->len, sizeof *candidates->pdata, by_hash);
+	max = MAX((uint32_t)ceil(candidates->len * ro_cfg->exposure_share), CANARIES_MIN);
+	for (i = 0; i < candidates->len && i < max; i++)
+		((struct be *)g_ptr_array_index(candidates, i))->ro_part = RO_CANARY;
+	g_ptr_array_free(candidates, TRUE);
 }
 
 static int has_old(const struct ro *o)
@@ -59,8 +59,7 @@
 	return 0;
 }
 
-/* Versions but the target. */
-void ro_bar_old(const struct ro *o)
+void ro_block_old(const struct ro *o)
 {
 	const GPtrArray *list = be_of(o->service);
 	uint32_t i;
@@ -72,7 +71,7 @@
 	}
 }
 
-static int may_expose(const struct ro *o)
+static int may_send_canary(const struct ro *o)
 {
 	double slack = 0;
 
@@ -80,23 +79,23 @@
 	return rollout_may_expose(&o->use, ro_cfg->exposure_share, slack);
 }
 
-uint32_t ro_parts(const char *service, int fresh)
+uint32_t ro_allowed(const char *service, int fresh)
 {
 	const struct ro *o = ro_find(service);
 
 	if (!o) return RO_ANY;
 	switch (o->stage) {
-	case ROLLOUT_CANARY: return fresh && may_expose(o) ? RO_CANARY : RO_OLD;
+	case ROLLOUT_CANARY: return fresh && may_send_canary(o) ? RO_CANARY : RO_OLD;
 	case ROLLOUT_SHIFT: return RO_NEW | RO_CANARY;
 	case ROLLOUT_UNKNOWN: return RO_OLD;
 	case ROLLOUT_ROLLED_BACK:
 	case ROLLOUT_COMPLETED:
 	case ROLLOUT_STAGES: break;
 	}
-	return RO_ANY; /* what gets nothing any more is barred */
+	return RO_ANY; /* a version that must get no requests is blocked */
 }
 
-uint32_t ro_parts_else(const char *service)
+uint32_t ro_allowed_fallback(const char *service)
 {
 	const struct ro *o = ro_find(service);
 
@@ -112,7 +111,7 @@
 	return RO_ANY;
 }
 
-void ro_sent(const struct be *b, int first)
+void ro_note_sent(const struct be *b, int first)
 {
 	struct ro *o = b->ro_part ? ro_find(b->service) : NULL;
 
@@ -123,18 +122,18 @@
 	met_add(MET_CANARIES, 1);
 }
 
-void ro_ended(struct be *b, uint32_t route, enum ro_end how, int64_t took_us)
+void ro_note_result(struct be *b, uint32_t route, enum ro_result result, int64_t took_us)
 {
 	struct ro *o = b->ro_part ? ro_find(b->service) : NULL;
 	int64_t now = clock_us(), broke_us = b->broke_us;
 
 	if (!o) return;
-	if (how == RO_BROKE) {
+	if (result == RO_BROKEN) {
 		b->broke_us = now;
-		if (now - broke_us < BROKE_US) return;
+		if (now - broke_us < BROKEN_US) return;
 	}
 	rollout_note(&o->own, route, b->ro_part == RO_OLD ? ROLLOUT_OLD : ROLLOUT_NEW,
-		     how != RO_WELL, took_us);
+		     result != RO_OK, took_us);
 	o->own_changed = 1;
 }
 
--- a/src/fleet/ro_mesh.c
+++ b/src/fleet/ro_mesh.c
@@ -1,13 +1,13 @@
-/* What instances tell each other of versions that are brought in: how far it is, to all, and
- * how their exchanges went, to those who judge by it. */
+/* Mesh messages about rollouts: stages, sent to all instances, and tallies of results, sent to
+ * those that judge by them. */
 #include "clock.h"
 #include "mesh.h"
 #include "mesh_topic.h"
 #include "ro_impl.h"
 #include <errno.h>
 
-#define TELL_US 250000    /* between two messages of one instance */
-#define SILENT_US 2000000 /* what one that fell silent had running is not counted */
+#define SEND_US 250000    /* least time between two tallies of one instance */
+#define SILENT_US 2000000 /* exchanges of an instance silent for longer are not counted */
 #define HEAD_FIELDS 7     /* type, service, order, stage, age, written, runs at old servers */
 #define COUNT_FIELDS (2 + ROLLOUT_TIMES)
 #define ROUTE_FIELDS (1 + ROLLOUT_SIDES * COUNT_FIELDS)
@@ -51,7 +51,7 @@
 	ro_each(write_item, out);
 }
 
-void ro_tell_stage(struct ro *o)
+void ro_send_stage(struct ro *o)
 {
 	GString *out = g_string_new(NULL);
 
@@ -60,14 +60,14 @@
 	g_string_free(out, TRUE);
 }
 
-void ro_tell_own(struct ro *o)
+void ro_send_own(struct ro *o)
 {
-	static int64_t told_us;
+	static int64_t sent_us;
 	int64_t now = clock_us();
 	GString *out;
 
-	if (!o->own_changed || now - told_us < TELL_US) return;
-	told_us = now;
+	if (!o->own_changed || now - sent_us < SEND_US) return;
+	sent_us = now;
 	o->own_changed = 0;
 	out = g_string_new(NULL);
 	write_one(out, o, 1);
@@ -98,14 +98,14 @@
 	}
 }
 
-/* A frame without a tally leaves the one before. */
-static void take_told(struct ro *o, const char *from, const msgpack_object_array *a)
+/* A frame without a tally leaves the previous tally. */
+static void update_peer(struct ro *o, const char *from, const msgpack_object_array *a)
 {
-	struct ro_told *t = g_hash_table_lookup(o->told, from);
+	struct ro_peer *t = g_hash_table_lookup(o->peers, from);
 
 	if (!t) {
-		t = g_new0(struct ro_told, 1);
-		g_hash_table_insert(o->told, g_strdup(from), t);
+		t = g_new0(struct ro_peer, 1);
+		g_hash_table_insert(o->peers, g_strdup(from), t);
 	}
 	t->at_us = clock_us();
 	t->old_runs = (uint32_t)mesh_int(&a->ptr[6]);
@@ -114,7 +114,7 @@
 	read_tally(a, &t->tally);
 }
 
-static int take(const char *from, const msgpack_object_array *a)
+static int on_frame(const char *from, const msgpack_object_array *a)
 {
 	char service[ENTRY_TEXT_MAX + 1];
 	enum rollout_stage stage, written;
@@ -125,26 +125,26 @@
 	stage = (enum rollout_stage)CLAMP(mesh_int(&a->ptr[3]), 0, ROLLOUT_COMPLETED);
 	written = (enum rollout_stage)CLAMP(mesh_int(&a->ptr[5]), 0, ROLLOUT_COMPLETED);
 	o = ro_find(service);
-	/* Of an order that is not known here yet: it is told again. */
+	/* The order has not arrived here yet; the frame is sent again. */
 	if (!o || o->order != (uint64_t)mesh_int(&a->ptr[2])) return 0;
 	o->began_us = MIN(o->began_us, clock_us() - MAX(mesh_int(&a->ptr[4]), 0));
 	o->written = MAX(o->written, written);
-	take_told(o, from, a);
-	/* Who decided may not have a link to all. */
-	if (ro_rise(o, stage, from) && mesh_self_hub()) ro_tell_stage(o);
+	update_peer(o, from, a);
+	/* The instance that decided may not have a link to all. */
+	if (ro_advance(o, stage, from) && mesh_self_hub()) ro_send_stage(o);
 	return 0;
 }
 
-static void add_told(gpointer name, gpointer told, gpointer sum)
+static void add_peer(gpointer name, gpointer peer, gpointer sum)
 {
 	(void)name;
-	rollout_add(sum, &((struct ro_told *)told)->tally);
+	rollout_add(sum, &((struct ro_peer *)peer)->tally);
 }
 
-void ro_sum(const struct ro *o, struct rollout_tally *sum)
+void ro_sum_tallies(const struct ro *o, struct rollout_tally *sum)
 {
 	rollout_add(sum, &o->own);
-	g_hash_table_foreach(o->told, add_told, sum);
+	g_hash_table_foreach(o->peers, add_peer, sum);
 }
 
 uint32_t ro_old_runs(const struct ro *o)
@@ -152,11 +152,11 @@
 	uint32_t n = ro_own_old_runs(o);
 	int64_t now = clock_us();
 	GHashTableIter it;
-	gpointer told;
+	gpointer peer;
 
-	g_hash_table_iter_init(&it, o->told);
-	while (g_hash_table_iter_next(&it, NULL, &told)) {
-		const struct ro_told *t = told;
+	g_hash_table_iter_init(&it, o->peers);
+	while (g_hash_table_iter_next(&it, NULL, &peer)) {
+		const struct ro_peer *t = peer;
 
 		if (now - t->at_us < SILENT_US) n += t->old_runs;
 	}
@@ -165,7 +165,7 @@
 
 void ro_mesh_start(void)
 {
-	static const struct mesh_topic topic = {MESH_ROLLOUT, take, write_all};
+	static const struct mesh_topic topic = {MESH_ROLLOUT, on_frame, write_all};
 
 	mesh_add_topic(&topic);
 }
--- a/src/fleet/ro_status.c
+++ b/src/fleet/ro_status.c
@@ -1,5 +1,5 @@
-/* How far a rollout is, as the store has it: each change is made under the condition that
- * nobody else has made one, so that whoever writes next goes on from there. */
+/* Status of a rollout in the store. Each write is conditional on the known revision, so that a
+ * writer that missed another's write continues from that one. */
 #include "clock.h"
 #include "dialect.h"
 #include "jlog.h"
@@ -9,7 +9,7 @@
 #include <errno.h>
 #include <string.h>
 
-#define AGAIN_US 300000 /* after a call that failed */
+#define RETRY_US 300000 /* before the next write, unless this one finds another status */
 
 static void on_written(const struct st_reply *r, void *user);
 
@@ -24,7 +24,7 @@
 			      .value = value,
 			      .len = strlen(value)};
 
-	o->next_us = clock_us() + AGAIN_US;
+	o->next_us = clock_us() + RETRY_US;
 	o->call = st_commit(&c, done, o);
 	g_free(value);
 	g_free(key);
@@ -39,27 +39,27 @@
 	jlog_end(g);
 }
 
-/* The status stands at another revision than was thought: of this order, or of one before. */
-static void take_found(struct ro *o, const struct st_reply *r)
+/* The write failed as the status has another revision: of this order or an earlier one. */
+static void on_conflict(struct ro *o, const struct st_reply *r)
 {
 	enum rollout_stage s;
 
-	o->next_us = 0; /* asked again at once */
+	o->next_us = 0; /* retry at once */
 	o->status_rev = r->n ? r->items[0].revision : 0;
 	if (!r->n || !r->items[0].value || o->status_rev < o->order) return;
 	if (dl_read_rollout_status(r->items[0].value, r->items[0].len, o->target, &s)) return;
 	log_found(o, o->status_rev);
 	o->written = MAX(o->written, s);
-	if (ro_rise(o, s, "the store")) ro_tell_stage(o);
+	if (ro_advance(o, s, "the store")) ro_send_stage(o);
 }
 
-/* What was written stands. */
-static void take_written(struct ro *o, enum rollout_stage s, uint64_t revision)
+/* The write succeeded. */
+static void on_success(struct ro *o, enum rollout_stage s, uint64_t revision)
 {
 	o->status_rev = revision;
 	o->written = s;
-	ro_rise(o, s, "this instance");
-	ro_tell_stage(o);
+	ro_advance(o, s, "this instance");
+	ro_send_stage(o);
 }
 
 static void take_reply(struct ro *o, const struct st_reply *r, enum rollout_stage s)
@@ -67,9 +67,9 @@
 	o->call = NULL;
 	watch_note_reply(r);
 	if (!r->rc)
-		take_written(o, s, r->at);
+		on_success(o, s, r->at);
 	else if (r->rc == -ECANCELED)
-		take_found(o, r);
+		on_conflict(o, r);
 }
 
 static void on_written(const struct st_reply *r, void *user)
@@ -89,7 +89,7 @@
 	return !o->call && mesh_watches() && clock_us() >= o->next_us;
 }
 
-/* A shift is told to instances alone: the store has it as running, as the canary before. */
+/* The shift is sent to instances only: the store holds "running" for canary and shift. */
 static int is_behind(const struct ro *o)
 {
 	if (o->stage == ROLLOUT_SHIFT) return o->written < ROLLOUT_CANARY;
--- a/src/fleet/watch.c
+++ b/src/fleet/watch.c
@@ -91,7 +91,7 @@
 	if (!r->n) return;
 	apply_all(r, 0);
 	for (i = 0; i < r->n; i++) upto = MAX(upto, r->items[i].revision);
-	if (w->list.of == DL_BACKEND) board_complete(upto);
+	if (w->list.kind == DL_BACKEND) board_complete(upto);
 	mesh_pass_on(base);
 }
 
@@ -99,7 +99,7 @@
 {
 	struct board_revs revs = board_revs();
 
-	return w->list.of == DL_CONF ? revs.conf : revs.backends;
+	return w->list.kind == DL_CONF ? revs.conf : revs.backends;
 }
 
 static void log_list(const struct watcher *w, const char *event)
@@ -129,7 +129,7 @@
 
 static int may_leave_rest(const struct watcher *w)
 {
-	if (w->left_us || w->list.of != DL_BACKEND || w->base.backends) return 0;
+	if (w->left_us || w->list.kind != DL_BACKEND || w->base.backends) return 0;
 	return mesh_known() > 1 && others_have_or_list();
 }
 
@@ -164,7 +164,7 @@
 		return;
 	}
 	g_ptr_array_unref(board_apply_missing(w->list.prefix, w->listed, w->at));
-	if (w->list.of == DL_BACKEND) board_complete(w->at);
+	if (w->list.kind == DL_BACKEND) board_complete(w->at);
 	g_hash_table_remove_all(w->listed);
 	log_list(w, "list_read");
 	w->phase = WATCHING;
@@ -250,7 +250,7 @@
 static int may_ask(const struct watcher *w)
 {
 	if (watch_store_up() || tries_anew(w) || clock_us() >= w->rest_until_us) return 1;
-	return mesh_asks_store() && !board_conf() && w->list.of == DL_CONF;
+	return mesh_asks_store() && !board_conf() && w->list.kind == DL_CONF;
 }
 
 static void watch(struct watcher *w, int64_t wait_ms)
@@ -303,7 +303,7 @@
 	int i;
 
 	for (i = 0; i < nwatchers; i++)
-		if (watchers[i].list.of == DL_CONF && watchers[i].call &&
+		if (watchers[i].list.kind == DL_CONF && watchers[i].call &&
 		    st_received(watchers[i].call))
 			return 1;
 	return 0;
@@ -322,7 +322,7 @@
 	int i;
 
 	for (i = 0; i < nwatchers; i++)
-		if (watchers[i].list.of == DL_BACKEND) return &watchers[i];
+		if (watchers[i].list.kind == DL_BACKEND) return &watchers[i];
 	return NULL;
 }
 
@@ -365,7 +365,7 @@
 	for (i = 0; after && i < nwatchers; i++) {
 		struct watcher *w = &watchers[i];
 
-		if (w->list.of == kind && w->at >= after) w->at = MAX(w->at, upto);
+		if (w->list.kind == kind && w->at >= after) w->at = MAX(w->at, upto);
 	}
 }
 
--- a/src/fleet/watch_check.c
+++ b/src/fleet/watch_check.c
@@ -25,7 +25,7 @@
 /* Orders are few, and told by whoever applies them. */
 static int lists_orders(const struct checker *c)
 {
-	return c->list.of == DL_DRAIN || c->list.of == DL_ROLLOUT;
+	return c->list.kind == DL_DRAIN || c->list.kind == DL_ROLLOUT;
 }
 
 static void on_page(const struct st_reply *r, void *user);
@@ -107,7 +107,7 @@
 	for (i = 0; i < ncheckers; i++) {
 		struct checker *c = &checkers[i];
 
-		if (c->list.of == DL_CONF || c->call) continue;
+		if (c->list.kind == DL_CONF || c->call) continue;
 		if (c->after[0]) watch_glance();
 		c->pages = PAGES;
 		ask(c);
--- a/src/http/cn.c
+++ b/src/http/cn.c
@@ -1,4 +1,4 @@
-/* One TCP connection on the event loop: what the kernel does not take at once is kept. */
+/* TCP connections on the event loop. Bytes that the kernel does not take at once are queued. */
 #include "cn.h"
 #include <errno.h>
 #include <netinet/tcp.h>
@@ -6,14 +6,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define READ_SIZE 16384      /* bytes a read; larger ones only cost stack */
-#define TAKEN_MAX 65536      /* bytes at the start of what is written that are gone already */
-#define READS_A_TURN 4       /* then others get their turn */
-#define USER_TIMEOUT_MS 3000 /* unacknowledged bytes for so long: the peer is cut off */
-#define KEEPALIVE_IDLE_S 3   /* a peer silent for so long is asked ... */
+#define READ_SIZE 16384      /* bytes per read; larger ones only use more stack */
+#define SENT_MAX 65536       /* sent bytes at the start of out before they are dropped */
+#define READS_PER_EVENT 4    /* reads of one connection per event, for fairness */
+#define USER_TIMEOUT_MS 3000 /* unacknowledged bytes for so long end the connection */
+#define KEEPALIVE_IDLE_S 3   /* a peer silent for so long is probed ... */
 #define KEEPALIVE_EVERY_S 1  /* ... this often ... */
-#define KEEPALIVE_PROBES 3   /* ... and given up after so many questions */
-#define LISTEN_BACKLOG 1024  /* connections: a full queue costs callers seconds */
+#define KEEPALIVE_PROBES 3   /* ... and given up after so many probes */
+#define LISTEN_BACKLOG 1024  /* connections; a full queue delays callers by seconds */
 
 int cn_open(const struct cn *c)
 {
@@ -25,7 +25,7 @@
 	return c->out ? c->out->len - c->out_off : 0;
 }
 
-static void watch(struct cn *c)
+static void update_events(struct cn *c)
 {
 	uint32_t want = c->got_eof ? 0 : EPOLLRDHUP;
 
@@ -73,17 +73,17 @@
 		if (n < 0 && errno == EINTR) continue;
 		if (n < 0) return errno == EAGAIN ? 0 : -errno;
 		c->out_off += n;
-		c->taken += (uint64_t)n;
+		c->sent += (uint64_t)n;
 	}
 	if (c->out) g_string_truncate(c->out, 0);
 	c->out_off = 0;
 	return 0;
 }
 
-/* A peer that takes some of it now and then would keep all that it ever took. */
-static void drop_taken(struct cn *c)
+/* Without this, the buffer of a peer that never takes all would keep every byte ever sent. */
+static void drop_sent(struct cn *c)
 {
-	if (c->out_off < TAKEN_MAX) return;
+	if (c->out_off < SENT_MAX) return;
 	g_string_erase(c->out, 0, (gssize)c->out_off);
 	c->out_off = 0;
 }
@@ -100,7 +100,7 @@
 			return;
 		}
 		c->connecting = 0;
-		if (c->on_up) c->on_up(c);
+		if (c->on_connected) c->on_connected(c);
 		if (c->ev.fd < 0) return;
 	}
 	err = flush(c);
@@ -108,16 +108,16 @@
 		fail(c, err);
 		return;
 	}
-	watch(c);
+	update_events(c);
 	if (!cn_pending(c) && c->on_drain) c->on_drain(c);
 }
 
 static void on_readable(struct cn *c)
 {
 	char buf[READ_SIZE];
-	int turn;
+	int i;
 
-	for (turn = 0; turn < READS_A_TURN && c->ev.fd >= 0 && !c->paused; turn++) {
+	for (i = 0; i < READS_PER_EVENT && c->ev.fd >= 0 && !c->paused; i++) {
 		ssize_t n = recv(c->ev.fd, buf, sizeof buf, 0);
 
 		if (n < 0 && errno == EINTR) continue;
@@ -128,7 +128,7 @@
 		}
 		if (n == 0) {
 			c->got_eof = 1;
-			watch(c);
+			update_events(c);
 			c->on_end(c, 0);
 			return;
 		}
@@ -137,7 +137,7 @@
 	}
 }
 
-/* With reading paused the end is still told, as a reset or a closed side. */
+/* While reading is paused, the end is still reported, as a reset or a closed side. */
 static void on_hangup(struct cn *c, uint32_t events)
 {
 	int err = 0;
@@ -149,7 +149,7 @@
 		return;
 	}
 	c->got_eof = 1;
-	watch(c);
+	update_events(c);
 	c->on_end(c, 0);
 }
 
@@ -234,18 +234,18 @@
 	if (c->ev.fd < 0) return;
 	if (!c->connecting && !cn_pending(c)) {
 		done = send(c->ev.fd, p, n, MSG_NOSIGNAL);
-		if (done < 0) done = 0; /* a broken connection is told by the next event */
+		if (done < 0) done = 0; /* the next event reports a broken connection */
 	}
 	if ((size_t)done == n) return;
 	if (!c->out) c->out = g_string_new(NULL);
-	drop_taken(c);
+	drop_sent(c);
 	g_string_append_len(c->out, (const char *)p + done, n - done);
-	watch(c);
+	update_events(c);
 }
 
 void cn_pause(struct cn *c, int paused)
 {
 	if (c->ev.fd < 0 || c->paused == paused) return;
 	c->paused = paused;
-	watch(c);
+	update_events(c);
 }
--- a/src/http/ev.c
+++ b/src/http/ev.c
@@ -1,4 +1,4 @@
-/* The event loop: epoll for sockets, a heap for timers, memory freed between rounds. */
+/* The event loop: epoll for sockets, a heap for timers, deferred frees between rounds. */
 #include "ev.h"
 #include "clock.h"
 #include "heap.h"
@@ -8,21 +8,21 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-#define BATCH 64            /* events fetched at once: more only delay timers */
-#define WAIT_MAX_MS 1000    /* longest sleep: signals are looked at that often at least */
-#define TIMER_SLACK_US 1000 /* due within it fire together: epoll counts milliseconds */
+#define BATCH 64            /* events per epoll_wait; more only delay timers */
+#define WAIT_MAX_MS 1000    /* longest sleep: bounds the delay until *stop is seen */
+#define TIMER_SLACK_US 1000 /* timers due within it fire together: epoll_wait counts in ms */
 
-/* A loop that comes round so late stood still: the process was stopped, or its machine. */
-#define STOOD_STILL_US 1000000
+/* A round this late means that the process or its machine was suspended. */
+#define SUSPENDED_US 1000000
 
-void (*ev_on_wake)(void);
+void (*ev_on_resume)(void);
 
 static int ep = -1;
 static int64_t now_us;
 static struct heap timers;
 static GPtrArray *garbage;
 
-static int sooner(const void *a, const void *b)
+static int is_sooner(const void *a, const void *b)
 {
 	return ((const struct ev_timer *)a)->at_us < ((const struct ev_timer *)b)->at_us;
 }
@@ -31,7 +31,7 @@
 {
 	ep = epoll_create1(EPOLL_CLOEXEC);
 	if (ep < 0) return -errno;
-	heap_init(&timers, sooner, offsetof(struct ev_timer, pos));
+	heap_init(&timers, is_sooner, offsetof(struct ev_timer, pos));
 	garbage = g_ptr_array_new_with_free_func(g_free);
 	now_us = clock_us();
 	return 0;
@@ -115,20 +115,20 @@
 	return ms < WAIT_MAX_MS ? (int)ms : WAIT_MAX_MS;
 }
 
-/* So long after the round before it, of which it waited waited_ms at most. */
-static void look_whether_it_stood_still(int64_t since_us, int waited_ms)
+/* since_us: time since the round before, of which epoll_wait may take waited_ms. */
+static void check_suspension(int64_t since_us, int waited_ms)
 {
-	if (since_us - waited_ms * 1000LL >= STOOD_STILL_US && ev_on_wake) ev_on_wake();
+	if (since_us - waited_ms * 1000LL >= SUSPENDED_US && ev_on_resume) ev_on_resume();
 }
 
-static void round_once(void)
+static void run_round(void)
 {
 	struct epoll_event e[BATCH];
 	int64_t before_us = now_us;
 	int ms = wait_ms(), i, n = epoll_wait(ep, e, BATCH, ms);
 
 	now_us = clock_us();
-	look_whether_it_stood_still(now_us - before_us, ms);
+	check_suspension(now_us - before_us, ms);
 	for (i = 0; i < n; i++) {
 		struct ev_fd *f = e[i].data.ptr;
 
@@ -140,5 +140,5 @@
 
 void ev_run(const volatile int *stop)
 {
-	while (!*stop) round_once();
+	while (!*stop) run_round();
 }
--- a/src/http/hp.c
+++ b/src/http/hp.c
@@ -1,4 +1,4 @@
-/* Reads one HTTP/1.1 message: the codec's callbacks fill a head and pass the body on. */
+/* Parses one HTTP/1.1 message: callbacks of http-parser fill the head and forward the body. */
 #include "hp.h"
 #include <errno.h>
 #include <string.h>
@@ -18,8 +18,8 @@
 	return off;
 }
 
-/* Pieces of one text may come apart: the new one goes on where the last one ended. */
-static void add_text(struct hp_head *h, const char *at, size_t n)
+/* Appends to the last string: http-parser may deliver one string in several pieces. */
+static void append_text(struct hp_head *h, const char *at, size_t n)
 {
 	g_string_truncate(h->text, h->text->len - 1);
 	put_text(h, at, n);
@@ -35,7 +35,7 @@
 
 static int on_url(http_parser *p, const char *at, size_t n)
 {
-	add_text(&self(p)->head, at, n);
+	append_text(&self(p)->head, at, n);
 	return 0;
 }
 
@@ -45,7 +45,7 @@
 	struct hp_field f;
 
 	if (m->head.fields->len && !m->in_value) {
-		add_text(&m->head, at, n);
+		append_text(&m->head, at, n);
 		return 0;
 	}
 	f.name = put_text(&m->head, at, n);
@@ -62,7 +62,7 @@
 		&g_array_index(m->head.fields, struct hp_field, m->head.fields->len - 1);
 
 	if (m->in_value) {
-		add_text(&m->head, at, n);
+		append_text(&m->head, at, n);
 		return 0;
 	}
 	f->value = put_text(&m->head, at, n);
@@ -116,7 +116,7 @@
 	p->head.fields = g_array_new(FALSE, FALSE, sizeof(struct hp_field));
 }
 
-void hp_again(struct hp *p)
+void hp_reset(struct hp *p)
 {
 	http_parser_init(&p->parser, p->parser.type);
 	p->parser.data = p;
@@ -192,7 +192,7 @@
 	return h->text->str + h->target;
 }
 
-/* Whether the comma separated list in a field's value holds the token. */
+/* Whether the comma-separated list in a field's value contains the token. */
 static int has_token(const char *list, const char *token)
 {
 	size_t n = strlen(token);
@@ -207,20 +207,20 @@
 
 int hp_hop_by_hop(const struct hp_head *h, const char *name)
 {
-	static const char *const known[] = {"connection",
-					    "keep-alive",
-					    "proxy-connection",
-					    "te",
-					    "trailer",
-					    "transfer-encoding",
-					    "upgrade",
-					    "proxy-authenticate",
-					    "proxy-authorization",
-					    NULL};
+	static const char *const hop_by_hop[] = {"connection",
+						 "keep-alive",
+						 "proxy-connection",
+						 "te",
+						 "trailer",
+						 "transfer-encoding",
+						 "upgrade",
+						 "proxy-authenticate",
+						 "proxy-authorization",
+						 NULL};
 	uint32_t i;
 
-	for (i = 0; known[i]; i++)
-		if (!strcasecmp(name, known[i])) return 1;
+	for (i = 0; hop_by_hop[i]; i++)
+		if (!strcasecmp(name, hop_by_hop[i])) return 1;
 	for (i = 0; i < hp_count(h); i++)
 		if (!strcasecmp(hp_name(h, i), "connection") && has_token(hp_value(h, i), name))
 			return 1;
--- a/src/http/hs.c
+++ b/src/http/hs.c
@@ -1,14 +1,14 @@
-/* Connections of callers: one whole request at a time, its answer, then the next. */
+/* Connections of callers: one request at a time, its answer, then the next request. */
 #include "hs.h"
 #include "clock.h"
 #include <errno.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-#define ACCEPTS_A_TURN 64 /* then others get their turn */
-#define BODY_KEPT 65536   /* bytes: memory of a larger body is not kept between requests */
-#define LINGER_US 1000000 /* after the last answer, for the caller to close first */
-#define BODY_US 20000000  /* for a body to come in whole; heads have their own limit */
+#define ACCEPTS_PER_EVENT 64 /* per event, for fairness */
+#define BODY_KEPT 65536      /* bytes; larger body buffers are freed between requests */
+#define LINGER_US 1000000    /* time for the caller to close first, after the last answer */
+#define BODY_US 20000000     /* to receive a body; heads have their own limit */
 
 static void on_data(struct cn *c, const char *p, size_t n);
 
@@ -23,28 +23,29 @@
 	ev_stop(&h->timer);
 	cn_close(&h->cn);
 	hp_free(&h->hp);
-	g_string_free(h->in, TRUE);
+	g_string_free(h->early, TRUE);
 	g_string_free(h->body, TRUE);
 	ev_free_later(h);
 }
 
-static void leave(struct hs *h)
+static void disconnect(struct hs *h)
 {
 	int busy = h->busy;
 
 	h->busy = 0;
-	if (busy && h->listener->on_left) h->listener->on_left(h);
+	if (busy && h->listener->on_disconnect) h->listener->on_disconnect(h);
 	drop(h);
 }
 
 static void on_end(struct cn *c, int err)
 {
 	(void)err;
-	leave((struct hs *)c);
+	disconnect((struct hs *)c);
 }
 
-/* Lets the caller read what was written before the connection is closed for good. */
-static void close_softly(struct hs *h)
+/* Closes the connection after the caller has read the rest: sends everything, shuts down the
+ * write side and waits for the caller to close. */
+static void close_gracefully(struct hs *h)
 {
 	h->closing = 1;
 	if (cn_pending(&h->cn)) return;
@@ -58,7 +59,7 @@
 	struct hs *h = (struct hs *)c;
 
 	if (h->closing)
-		close_softly(h);
+		close_gracefully(h);
 	else if (h->busy && h->listener->on_drain)
 		h->listener->on_drain(h);
 }
@@ -74,7 +75,7 @@
 	return "Unknown";
 }
 
-int hs_keeps(const struct hs *h)
+int hs_keeps_alive(const struct hs *h)
 {
 	return h->keep && !h->listener->closing;
 }
@@ -83,7 +84,7 @@
 {
 	h->keep = 0;
 	h->busy = 1;
-	if (h->listener->on_bad) h->listener->on_bad(h, status);
+	if (h->listener->on_reject) h->listener->on_reject(h, status);
 	hs_answer(h, status, NULL, "", 0);
 }
 
@@ -91,11 +92,11 @@
 {
 	struct hs *h = (struct hs *)((char *)t - offsetof(struct hs, timer));
 
-	if (!h->closing && (h->hp.head_bytes || h->in->len)) {
+	if (!h->closing && (h->hp.head_bytes || h->early->len)) {
 		refuse(h, 408);
 		return;
 	}
-	leave(h);
+	disconnect(h);
 }
 
 static int on_head(struct hp *p)
@@ -126,7 +127,7 @@
 	}
 }
 
-static void request_is_whole(struct hs *h)
+static void on_request_complete(struct hs *h)
 {
 	h->busy = 1;
 	h->arrived_us = clock_us();
@@ -143,7 +144,7 @@
 
 	if (h->closing) return;
 	if (h->busy) {
-		g_string_append_len(h->in, p, n);
+		g_string_append_len(h->early, p, n);
 		return;
 	}
 	if (!h->hp.head_bytes) ev_in(&h->timer, h->listener->limits.head_us);
@@ -153,16 +154,16 @@
 		return;
 	}
 	if (!h->hp.done) return;
-	g_string_append_len(h->in, p + used, n - used);
-	request_is_whole(h);
+	g_string_append_len(h->early, p + used, n - used);
+	on_request_complete(h);
 }
 
 static void next_request(struct hs *h)
 {
-	GString *early = h->in;
+	GString *early = h->early;
 
 	h->busy = 0;
-	hp_again(&h->hp);
+	hp_reset(&h->hp);
 	h->hp.head_max = h->listener->limits.head_max;
 	g_string_truncate(h->body, 0);
 	if (h->body->allocated_len > BODY_KEPT) {
@@ -172,7 +173,7 @@
 	cn_pause(&h->cn, 0);
 	ev_in(&h->timer, h->listener->limits.idle_us);
 	if (!early->len) return;
-	h->in = g_string_new(NULL);
+	h->early = g_string_new(NULL);
 	on_data(&h->cn, early->str, early->len);
 	g_string_free(early, TRUE);
 }
@@ -180,12 +181,12 @@
 void hs_finish(struct hs *h)
 {
 	if (!h->busy) return;
-	if (hs_keeps(h)) {
+	if (hs_keeps_alive(h)) {
 		next_request(h);
 		return;
 	}
 	h->busy = 0;
-	close_softly(h);
+	close_gracefully(h);
 }
 
 void hs_abort(struct hs *h)
@@ -206,7 +207,7 @@
 
 	g_string_printf(s, "HTTP/1.1 %d %s\r\n%sContent-Length: %zu\r\n%s\r\n", status,
 			hs_reason(status), fields ? fields : "", n,
-			hs_keeps(h) ? "" : "Connection: close\r\n");
+			hs_keeps_alive(h) ? "" : "Connection: close\r\n");
 	if (h->hp.head.method != HTTP_HEAD) g_string_append_len(s, body, n);
 	cn_write(&h->cn, s->str, s->len);
 	g_string_free(s, TRUE);
@@ -227,7 +228,7 @@
 	h->hp.on_head = on_head;
 	h->hp.on_body = on_body;
 	h->hp.head_max = l->limits.head_max;
-	h->in = g_string_new(NULL);
+	h->early = g_string_new(NULL);
 	h->body = g_string_new(NULL);
 	h->index = l->conns->len;
 	g_ptr_array_add(l->conns, h);
@@ -246,7 +247,7 @@
 	int i, fd;
 
 	(void)events;
-	for (i = 0; i < ACCEPTS_A_TURN; i++) {
+	for (i = 0; i < ACCEPTS_PER_EVENT; i++) {
 		len = sizeof from;
 		fd = accept4(f->fd, (struct sockaddr *)&from, &len,
 			     SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -277,6 +278,6 @@
 	for (i = l->conns->len; i-- > 0;) {
 		struct hs *h = g_ptr_array_index(l->conns, i);
 
-		if (!h->busy && !h->closing && !h->hp.head_bytes) close_softly(h);
+		if (!h->busy && !h->closing && !h->hp.head_bytes) close_gracefully(h);
 	}
 }
--- a/src/http/hx.c
+++ b/src/http/hx.c
@@ -1,4 +1,4 @@
-/* One exchange with a server on a connection of its own. */
+/* One HTTP exchange with a server, on a connection of its own. */
 #include "hx.h"
 #include <errno.h>
 #include <stddef.h>
@@ -31,11 +31,11 @@
 	if (!x->reading) release(x);
 }
 
-static void on_up(struct cn *c)
+static void on_connected(struct cn *c)
 {
 	struct hx *x = (struct hx *)c;
 
-	x->up = 1;
+	x->connected = 1;
 	if (x->wait_us)
 		ev_in(&x->timer, x->wait_us);
 	else
@@ -43,7 +43,7 @@
 	cn_write(c, x->request->str, x->request->len);
 	g_string_free(x->request, TRUE);
 	x->request = NULL;
-	if (x->on_up) x->on_up(x);
+	if (x->on_connected) x->on_connected(x);
 }
 
 static void on_data(struct cn *c, const char *p, size_t n)
@@ -105,7 +105,7 @@
 	struct hx *x = g_new0(struct hx, 1);
 
 	x->user = user;
-	x->cn.on_up = on_up;
+	x->cn.on_connected = on_connected;
 	x->cn.on_data = on_data;
 	x->cn.on_end = on_cn_end;
 	x->timer.fire = on_timer;
--- a/src/internal/hs_hold.h
+++ b/src/internal/hs_hold.h
@@ -1,12 +1,13 @@
-/* What callers have not taken yet of their answers: bounded for each and for all together. */
+/* Limits on the answer bytes buffered for slow callers, of each and of all together. */
 #ifndef SH_HS_HOLD_H
 #define SH_HS_HOLD_H
 #include "hs.h"
 
-/* most: bytes, of all callers of the listener. Beyond it those are ended that take nothing, and
- * then those that are owed most: on_end is called, which ends the connection. */
-void hs_hold_start(struct hs_listener *l, size_t most, void (*on_end)(struct hs *h));
-/* Whether more may be read for h's caller now; else its answer is read on when it has taken
- * what is there. */
+/* Starts to enforce max, in bytes, over all callers of the listener. Beyond it, ends callers
+ * that take nothing, then those with the most buffered bytes: on_end must end the connection.
+ */
+void hs_hold_start(struct hs_listener *l, size_t max, void (*on_end)(struct hs *h));
+/* Whether more of the answer for h's caller may be read from its server now. If not, reading
+ * continues when the caller has taken what is buffered. */
 int hs_may_hold(const struct hs *h);
 #endif
--- /dev/null
+++ b/src/internal/quarantine.h
@@ -0,0 +1,69 @@
+/* Quarantine of requests that crash the backend servers that run them. Combines what this
+ * instance and the others saw: crashes are reported to all instances that receive caller
+ * traffic, verdicts to all instances. quar.h makes the decision. */
+#ifndef SH_QUARANTINE_H
+#define SH_QUARANTINE_H
+#include "be.h"
+#include "quar.h"
+
+struct quarantine_run { /* of a request on a server that crashed */
+	struct fp fp;
+	int64_t ran_us;
+};
+
+/* Callbacks into the request handling of this instance. */
+struct quarantine_hooks {
+	/* The request was quarantined, here or elsewhere: its runs must be ended. */
+	void (*quarantined)(const struct fp *fp);
+	/* Returns how many of its runs have not answered yet. Sets *healthy if one has run for
+	 * so long that it won't crash its server any more. */
+	uint32_t (*unanswered)(const struct fp *fp, int *healthy);
+};
+/* first_start: the whole fleet starts for the first time, so no instance holds verdicts. */
+void quarantine_start(int first_start, const struct quarantine_hooks *hooks);
+/* Whether this instance has received the verdicts of another one, or no other one provides
+ * them. It serves no caller before. */
+int quarantine_ready(void);
+
+/* ---- evidence of this instance ---- */
+/* b crashed while these ran there. */
+void quarantine_note_crash(const struct be *b, const struct quarantine_run *run, int n,
+			   int64_t at_us);
+/* A run of this instance succeeded. */
+void quarantine_note_success(const struct fp *fp);
+
+/* ---- admission of runs ---- */
+/* Whether there are suspects at all; if not, quarantine_check need not be called. */
+int quarantine_has_suspects(void);
+/* Whether a run may start. here: other runs of the request at this instance that have not
+ * answered yet. */
+enum quar_answer quarantine_check(const struct fp *fp, uint32_t here);
+
+/* ---- operators ---- */
+/* Writes the quarantined requests as a JSON list. */
+void quarantine_write(GString *out);
+/* Lifts the quarantine of a request at all instances. Returns 0, -EINVAL if the text is no
+ * fingerprint, or -ENOENT if it is not quarantined. */
+int quarantine_clear(const char *fingerprint);
+
+/* ---- messages of other instances, called as the mesh receives them ---- */
+struct quarantine_crash {
+	char server[QUAR_NAME];
+	int64_t incarnation_ms, ago_us;
+	int n;
+};
+void quarantine_recv_crash(const char *from, const struct quarantine_crash *e,
+			   const struct quarantine_run *run);
+void quarantine_recv_success(const struct fp *fp, int64_t ago_us);
+void quarantine_recv_verdict(const char *from, const struct fp *fp, uint32_t round,
+			     uint32_t cleared, int64_t ago_us);
+void quarantine_recv_inflight(const char *from, const struct fp *fp, uint32_t n);
+/* A peer has sent all its verdicts. complete: it had received those of others itself. */
+void quarantine_recv_done(int complete);
+/* Appends the reports of crashes and suspects that still count, for a peer that may have missed
+ * them: a link may have lost them, or the peer received no caller traffic when they were sent.
+ */
+void quarantine_write_reports(GString *out);
+uint64_t quarantine_digest(void);
+void quarantine_each_verdict(void (*f)(const struct quar_suspect *s, void *arg), void *arg);
+#endif
--- /dev/null
+++ b/src/internal/quarantine_impl.h
@@ -0,0 +1,44 @@
+/* Private to src/fleet/quarantine*.c. */
+#ifndef SH_QUARANTINE_IMPL_H
+#define SH_QUARANTINE_IMPL_H
+#include "quarantine.h"
+
+/* quarantine_success.c */
+/* A run of the request succeeded now. */
+void success_note(const struct fp *fp, int64_t now);
+/* Time of its last remembered success; 0: none lately. */
+int64_t success_last_us(const struct fp *fp);
+
+/* quarantine_recent.c */
+/* Crashes are repeated for this long: meanwhile they count in how often servers crash without
+ * the request that is judged. */
+#define RECENT_CRASH_US 30000000
+/* b crashed while these ran there. */
+void recent_note(const struct be *b, const struct quarantine_run *run, int n, int64_t at_us,
+		 int64_t now);
+/* Appends a frame for each recent crash. */
+void recent_write(GString *out, int64_t now);
+
+/* quarantine_inflight.c */
+/* Counts of other instances are sent with each change; older ones are dropped, as their sender
+ * may have died. */
+#define INFLIGHT_KEEP_US 5000000
+/* n runs of the request have not answered yet at that instance. */
+void inflight_recv(const char *from, const struct fp *fp, uint32_t n);
+/* Sum over all other instances. */
+uint32_t inflight_count(const struct fp *fp, int64_t now);
+/* Sends the count of this instance to the others, if it changed. */
+void inflight_send(const struct fp *fp, uint32_t n);
+/* Appends a frame for each request with a count that was sent. */
+void inflight_write(GString *out);
+
+/* quarantine_write.c */
+void quarantine_log_verdict(const struct quar *q, const struct quar_suspect *s,
+			    const char *reported_by);
+void quarantine_log_crash(const char *server, const char *seen_by, int runs);
+/* Another instance reported runs more requests on a server whose crash is recorded already. */
+void quarantine_log_crash_report(const char *server, const char *reported_by, int runs,
+				 int64_t at_us);
+/* Writes the quarantined requests as a JSON list. */
+void quarantine_write_list(GString *out, const struct quar *q);
+#endif
--- a/src/internal/ro.h
+++ b/src/internal/ro.h
@@ -1,39 +1,43 @@
-/* New versions of services that are brought in on the operators' order: which servers may get a
- * request meanwhile, what their answers tell, and how far it is. */
+/* Rollouts (ro_): new versions of services that are introduced on an operator's order. Decides
+ * which servers may receive a request meanwhile, collects the results of exchanges for the
+ * verdict on the version, and tracks the stage. */
 #ifndef SH_RO_H
 #define SH_RO_H
 #include "be.h"
 #include "entry_cfg.h"
 
-/* The part of a server in a rollout of its service: bits of struct be's ro_part, which is 0
- * where there is none. */
+/* Role of a server in a rollout of its service: a bit in ro_part of struct be, which is 0
+ * without a rollout. */
 enum ro_part {
 	RO_OLD = 1,
 	RO_NEW = 2,
-	RO_CANARY = 4, /* of the new version, and gets what canaries may get */
+	RO_CANARY = 4, /* of the new version, receives the requests for canaries */
 	RO_ANY = 7
 };
 
-/* Once, before the mesh's start. c is kept. */
+/* Called once, before the mesh starts. Keeps a reference to c. */
 void ro_start(const struct entry_cfg *c);
 
-/* Which parts may get a request of the service, as bits. fresh: it was sent nowhere yet. */
-uint32_t ro_parts(const char *service, int fresh);
-/* The same where none of those servers is usable. */
-uint32_t ro_parts_else(const char *service);
-static inline int ro_is(const struct be *b, uint32_t parts)
+/* Roles, as bits, that may receive a request of the service. fresh: it was not sent to any
+ * server yet. */
+uint32_t ro_allowed(const char *service, int fresh);
+/* The same if no server with these roles is usable. */
+uint32_t ro_allowed_fallback(const char *service);
+static inline int ro_matches(const struct be *b, uint32_t roles)
 {
-	return !b->ro_part || (b->ro_part & parts);
+	return !b->ro_part || (b->ro_part & roles);
 }
 
-/* A request goes to b. first: it was sent nowhere before. */
-void ro_sent(const struct be *b, int first);
+/* A request is sent to b. first: for the first time. */
+void ro_note_sent(const struct be *b, int first);
 
-enum ro_end {
-	RO_WELL,
-	RO_BADLY, /* its own failure */
-	RO_BROKE, /* broken off or silent: a server that ends breaks many, which count once */
+enum ro_result {
+	RO_OK,
+	RO_FAILED, /* the server's own failure */
+	RO_BROKEN, /* broken off or silent: a server that crashes breaks many, which count once
+		    */
 };
-/* An exchange with b ended. route: any number that names it; took_us as rollout_note has it. */
-void ro_ended(struct be *b, uint32_t route, enum ro_end how, int64_t took_us);
+/* An exchange with b ended. route: any number that identifies the route; took_us as in
+ * rollout_note. */
+void ro_note_result(struct be *b, uint32_t route, enum ro_result result, int64_t took_us);
 #endif
--- a/src/internal/rq_impl.h
+++ b/src/internal/rq_impl.h
@@ -279,7 +279,7 @@
 /* Its server is cold or not, now that it is sent. */
 void leg_note_cold(struct leg *l);
 /* Its exchange ended: what that tells of its server's version. */
-void leg_tell_version(const struct leg *l, enum ro_end how);
+void leg_tell_version(const struct leg *l, enum ro_result how);
 
 /* rq_poison.c */
 /* Its exchange broke off with this error: perhaps its server ended. */
--- a/src/internal/store.h
+++ b/src/internal/store.h
@@ -1,5 +1,7 @@
-/* The platform's key-value service as the event loop uses it: each call answers once through
- * its callback. An adapter implements these; tests bring their own service. */
+/* Asynchronous client (st_) of the platform's key-value service. Each call completes once,
+ * through its callback. An adapter in platform/ implements it; tests run a service of their
+ * own.
+ */
 #ifndef SH_STORE_H
 #define SH_STORE_H
 #include <netinet/in.h>
@@ -8,37 +10,38 @@
 
 struct st_item {
 	const char *key;
-	const char *value; /* NULL: the key is gone */
+	const char *value; /* NULL: the key was deleted */
 	size_t len;
-	uint64_t revision; /* of the change */
+	uint64_t revision; /* of the last change */
 };
 
 struct st_reply {
-	/* 0, -ENOENT (no such key or lease), -ESTALE (that history is forgotten), -ECANCELED (a
-	 * condition did not hold), -EBUSY (over its rate), -EAGAIN (nothing was done), or
-	 * another negative errno: no answer, and a change may have been made or may be yet. */
+	/* 0, -ENOENT (no such key or lease), -ESTALE (the history since that revision is no
+	 * longer kept), -ECANCELED (a condition did not hold), -EBUSY (over the service's rate
+	 * limit), -EAGAIN (nothing was done), or another negative errno: no usable answer, and
+	 * a change may have been made or may still be made. */
 	int rc;
-	uint64_t at; /* the service's revision, where the answer tells it */
+	uint64_t at; /* the service's revision; 0: the answer does not state it */
 	struct st_item *items;
 	size_t n;
-	int more; /* a range goes on after its last item */
+	int more; /* a range continues after the last item */
 	uint64_t lease;
-	int64_t sent_us; /* monotonic: the answer is no older than this */
+	int64_t sent_us; /* monotonic; the answer is no older than this */
 };
 
 typedef void st_done(const struct st_reply *r, void *user);
 
 struct st_condition {
 	const char *key;
-	uint64_t revision; /* that it stands at; 0: the key is absent */
+	uint64_t revision; /* revision that the key must have; 0: it must be absent */
 };
-#define ST_CONDITIONS_MAX 32 /* of one change: the service takes no more */
+#define ST_CONDITIONS_MAX 32 /* of one change: the limit of the service */
 
-/* One change, made only if all its conditions hold. */
+/* A change, made only if all conditions hold. */
 struct st_change {
 	const struct st_condition *conditions;
 	int nconditions;
-	const char *put_key; /* NULL: nothing is written, the condition alone is asked */
+	const char *put_key; /* NULL: only the conditions are tested */
 	const char *value;
 	size_t len;
 	uint64_t lease; /* 0: none */
@@ -46,18 +49,19 @@
 
 struct st_call;
 void st_init(const struct sockaddr_in *at);
-/* The items whose keys begin so, from after the key after (NULL: from the first). */
+/* Lists the items whose keys begin with prefix, starting behind the key after (NULL: at the
+ * first). */
 struct st_call *st_range(const char *prefix, const char *after, st_done *done, void *user);
-/* Answers when something changed after the revision, or empty after wait_ms. */
+/* Completes with the changes after the revision, or empty after wait_ms. */
 struct st_call *st_watch(const char *prefix, uint64_t after, int64_t wait_ms, st_done *done,
 			 void *user);
 struct st_call *st_commit(const struct st_change *c, st_done *done, void *user);
 struct st_call *st_lease(int64_t ttl_ms, st_done *done, void *user);
 struct st_call *st_renew(uint64_t lease, st_done *done, void *user);
-/* Bytes of its answer's body that came so far. */
+/* Bytes of the answer's body received so far. */
 size_t st_received(const struct st_call *c);
-/* No callback follows; what was sent may still be done. */
+/* No callback follows. The service may still process the call. */
 void st_cancel(struct st_call *c);
-/* Ends a lease and its keys; nobody waits for the answer. */
+/* Ends a lease and deletes its keys, without waiting for the answer. */
 void st_release(uint64_t lease);
 #endif
--- a/src/relay/rq.c
+++ b/src/relay/rq.c
@@ -109,7 +109,7 @@
 static int may_have_run(const struct rq *r)
 {
 	if (r->runs || r->head_sent) return 1;
-	return r->leg && r->leg->hx && r->leg->hx->up;
+	return r->leg && r->leg->hx && r->leg->hx->connected;
 }
 
 void rq_fail(struct rq *r, enum refusal why, const char *detail)
@@ -162,7 +162,7 @@
 	rq_lengths(r)->answers++;
 	observe(r);
 	rq_log(r, "answered", NULL);
-	dl_write_head(out, head, r->answer->len, hs_keeps(h));
+	dl_write_head(out, head, r->answer->len, hs_keeps_alive(h));
 	if (h->hp.head.method != HTTP_HEAD)
 		g_string_append_len(out, r->answer->str, r->answer->len);
 	let_go(r);
--- a/src/relay/rq_answer.c
+++ b/src/relay/rq_answer.c
@@ -51,7 +51,7 @@
 		met_add(MET_ANSWERS_DROPPED, 1);
 		return -EBADMSG;
 	}
-	if (success(x) && !a.sound) return -EBADMSG;
+	if (success(x) && !a.intact) return -EBADMSG;
 	if (promises(x->hp.head.status)) return -EPROTO;
 	l->answered = 1;
 	if (l == r->next) {
@@ -83,7 +83,7 @@
 
 	if (r->head_sent) return;
 	out = g_string_new(NULL);
-	dl_write_head(out, head, -1, hs_keeps(r->h));
+	dl_write_head(out, head, -1, hs_keeps_alive(r->h));
 	hs_write(r->h, out->str, out->len);
 	g_string_free(out, TRUE);
 	r->head_sent = 1;
@@ -137,8 +137,7 @@
 		leg_read(l);
 		leg_recount(l);
 		be_succeeded(l->be, 0);
-		leg_tell_version(l,
-				 RO_WELL); /* its end may come when it is too late to judge */
+		leg_tell_version(l, RO_OK); /* its end may come when it is too late to judge */
 		if (be_leaves(r->leg->be)) move_begin(r);
 	}
 	move_go_on(r);
--- a/src/relay/rq_begin.c
+++ b/src/relay/rq_begin.c
@@ -1,6 +1,6 @@
 /* A request comes: whether it may run, and what is known of it. */
 #include "clock.h"
-#include "poison.h"
+#include "quarantine.h"
 #include "rq_impl.h"
 #include <errno.h>
 
@@ -130,7 +130,7 @@
 
 static void on_held_timer(struct ev_timer *t)
 {
-	if (!poison_known()) {
+	if (!quarantine_ready()) {
 		ev_in(t, HELD_LOOK_US);
 		return;
 	}
@@ -165,7 +165,7 @@
 	struct rq *r = rq_new(h);
 
 	if (check(r)) return;
-	if (poison_known())
+	if (quarantine_ready())
 		go_on(r);
 	else
 		hold(r);
--- a/src/relay/rq_end.c
+++ b/src/relay/rq_end.c
@@ -73,7 +73,7 @@
 	/* Engines that did as they were told were taken for failing, and got no work. */
 	if (!move_stops_source(r)) {
 		leg_note_broken(l, err);
-		leg_tell_version(l, RO_BROKE);
+		leg_tell_version(l, RO_BROKEN);
 		be_failed(l->be, "broke off");
 	}
 	log_broke(l, "may_have_run", err);
@@ -93,7 +93,7 @@
 	struct rq *r = l->rq;
 
 	rq_came_through(r);
-	leg_tell_version(l, head->status < 500 ? RO_WELL : RO_BADLY);
+	leg_tell_version(l, head->status < 500 ? RO_OK : RO_FAILED);
 	if (head->status < 500) {
 		be_succeeded(l->be, clock_us() - l->sent_us);
 		rq_answer(r, head);
@@ -118,7 +118,7 @@
 
 void leg_server_ended(struct leg *l)
 {
-	int up = l->hx->up;
+	int up = l->hx->connected;
 
 	hx_cancel(l->hx);
 	l->hx = NULL;
@@ -136,7 +136,7 @@
 
 	l->hx = NULL;
 	if (l == l->rq->next) {
-		copy_refused(l, err, x->up);
+		copy_refused(l, err, x->connected);
 		return;
 	}
 	if (!err && leg_is_stream(l, x)) {
@@ -147,7 +147,7 @@
 		answer_done(l, &x->hp.head);
 	else if (l->not_run)
 		turned_away(l);
-	else if (!x->up)
+	else if (!x->connected)
 		not_reached(l, err);
 	else
 		broke(l, err);
--- a/src/relay/rq_move_copy.c
+++ b/src/relay/rq_move_copy.c
@@ -31,7 +31,7 @@
 	if (pace_wait_us(at, conf_service(board_conf(), at->service), clock_us())) return;
 	out = g_string_new(NULL);
 	x = hx_new(NULL);
-	dl_write_drop(out, at, name);
+	dl_write_release(out, at, name);
 	x->on_end = ignore_end;
 	x->wait_us = ORDER_US;
 	bx_start(x, at, out, RQ_CONNECT_US);
@@ -86,7 +86,7 @@
 }
 
 /* An engine names a copy anew, or goes on with the one that it has named. */
-static void drop_unless_same(struct move *m, const struct dl_moved *moved)
+static void drop_unless_same(struct move *m, const struct dl_move_reply *moved)
 {
 	if (strcmp(m->handle, moved->handle)) move_drop_copy(m);
 	g_strlcpy(m->handle, moved->handle, sizeof m->handle);
@@ -121,7 +121,7 @@
 	return !b->drained_us || be_may_go_on(b) || b->state != BE_READY;
 }
 
-static void on_copied(struct rq *r, int status, const struct dl_moved *moved)
+static void on_copied(struct rq *r, int status, const struct dl_move_reply *moved)
 {
 	drop_unless_same(&r->move, moved);
 	switch (status) {
@@ -143,7 +143,7 @@
 	}
 }
 
-static void on_last(struct rq *r, int status, const struct dl_moved *moved)
+static void on_last(struct rq *r, int status, const struct dl_move_reply *moved)
 {
 	struct move *m = &r->move;
 
@@ -177,11 +177,11 @@
 {
 	struct rq *r = x->user;
 	struct move *m = &r->move;
-	struct dl_moved moved = {.handle = ""};
+	struct dl_move_reply moved = {.handle = ""};
 	int status = err ? 0 : x->hp.head.status;
 
 	m->hx = NULL;
-	if (!err) dl_read_moved(m->body->str, m->body->len, &moved);
+	if (!err) dl_read_move_reply(m->body->str, m->body->len, &moved);
 	move_log(r, m->state == MOVE_COPY ? "move_copied" : "move_stopped", err ? err : status);
 	if (m->state == MOVE_COPY)
 		on_copied(r, status, &moved);
--- a/src/relay/rq_pick.c
+++ b/src/relay/rq_pick.c
@@ -43,7 +43,8 @@
 {
 	int64_t in_us = be_usable_in(b, now), wait_us;
 
-	if (in_us == INT64_MAX || !ro_is(b, r->parts) || !rq_allows(r, b)) return INT64_MAX;
+	if (in_us == INT64_MAX || !ro_matches(b, r->parts) || !rq_allows(r, b))
+		return INT64_MAX;
 	wait_us = pace_wait_us(b, r->service, now);
 	return MAX(in_us, wait_us);
 }
@@ -96,7 +97,7 @@
 {
 	if (b == c->not_this) return 0;
 	if (c->last_resort)
-		return be_last_resort(b, c->now) && ro_is(b, c->r->parts) &&
+		return be_last_resort(b, c->now) && ro_matches(b, c->r->parts) &&
 		       rq_allows(c->r, b) && !pace_wait_us(b, c->r->service, c->now);
 	if (!s->usable) c->passed_over[pace_why(b, c->r->service, c->now)] = 1;
 	return s->usable;
@@ -183,10 +184,10 @@
 
 struct be *rq_pick(struct rq *r, const struct be *not_this)
 {
-	uint32_t others = ro_parts_else(r->service->name);
+	uint32_t others = ro_allowed_fallback(r->service->name);
 	struct be *b;
 
-	r->parts = ro_parts(r->service->name, !r->sends);
+	r->parts = ro_allowed(r->service->name, !r->sends);
 	b = pick(r, not_this);
 	if (r->parts == others || takes_now(r, b)) return b;
 	r->parts = others;
@@ -206,7 +207,7 @@
 	struct choice *c;
 	int i;
 
-	r->parts = ro_parts(r->service->name, 0);
+	r->parts = ro_allowed(r->service->name, 0);
 	c = collect(r, &now, source->zone, source);
 	for (i = 0; i < c->n; i++)
 		if (!can_be_moved_to(c->at[i])) c->s[i].usable = 0;
@@ -222,7 +223,7 @@
 	int i;
 
 	if (r->route->resumable || r->route->kind != CONF_STREAM) return NULL;
-	r->parts = ro_parts(r->service->name, 0);
+	r->parts = ro_allowed(r->service->name, 0);
 	c = collect(r, &now, l->be->zone, l->be);
 	for (i = 0; i < c->n; i++)
 		if (c->at[i]->refused) c->s[i].usable = 0;
--- a/src/relay/rq_poison.c
+++ b/src/relay/rq_poison.c
@@ -2,7 +2,7 @@
  * these requests. */
 #include "clock.h"
 #include "met.h"
-#include "poison.h"
+#include "quarantine.h"
 #include "rq_impl.h"
 #include <errno.h>
 #include <stddef.h>
@@ -49,8 +49,9 @@
 		(struct crash_check *)((char *)t - offsetof(struct crash_check, timer));
 
 	if (ck->ended)
-		poison_ended(ck->be, (const struct poison_run *)(void *)ck->run->data,
-			     (int)ck->run->len, ck->at_us);
+		quarantine_note_crash(ck->be,
+				      (const struct quarantine_run *)(void *)ck->run->data,
+				      (int)ck->run->len, ck->at_us);
 	g_ptr_array_remove_fast(checks, ck);
 	cn_reset(&ck->probe);
 	be_unref(ck->be);
@@ -88,11 +89,11 @@
 	struct crash_check *ck = g_new0(struct crash_check, 1);
 
 	ck->be = be_ref(b);
-	ck->run = g_array_new(FALSE, FALSE, sizeof(struct poison_run));
+	ck->run = g_array_new(FALSE, FALSE, sizeof(struct quarantine_run));
 	ck->at_us = clock_us();
 	ck->timer.fire = on_found_out;
 	ck->probe = (struct cn){
-		.on_up = on_probe_up, .on_data = on_probe_data, .on_end = on_probe_end};
+		.on_connected = on_probe_up, .on_data = on_probe_data, .on_end = on_probe_end};
 	if (!checks) checks = g_ptr_array_new();
 	g_ptr_array_add(checks, ck);
 	ev_in(&ck->timer, FIND_OUT_US);
@@ -109,7 +110,7 @@
 
 void leg_note_broken(const struct leg *l, int err)
 {
-	struct poison_run run = {.fp = *rq_fp(l->rq), .ran_us = clock_us() - l->sent_us};
+	struct quarantine_run run = {.fp = *rq_fp(l->rq), .ran_us = clock_us() - l->sent_us};
 	struct crash_check *ck = find_check(l->be);
 
 	if (!ck && !may_have_ended(l->be, err)) return;
@@ -153,7 +154,7 @@
 		const struct crash_check *ck = g_ptr_array_index(checks, i);
 
 		for (k = 0; k < ck->run->len; k++)
-			n += fp_equal(&g_array_index(ck->run, struct poison_run, k).fp, fp);
+			n += fp_equal(&g_array_index(ck->run, struct quarantine_run, k).fp, fp);
 	}
 	return n;
 }
@@ -197,16 +198,16 @@
 
 void rq_came_through(struct rq *r)
 {
-	poison_came_through(rq_fp(r));
+	quarantine_note_success(rq_fp(r));
 }
 
 int rq_is_held_off(struct rq *r)
 {
 	const struct fp *fp;
 
-	if (!poison_any()) return 0;
+	if (!quarantine_has_suspects()) return 0;
 	fp = rq_fp(r);
-	switch (poison_ask(fp, count_unanswered(fp, r))) {
+	switch (quarantine_check(fp, count_unanswered(fp, r))) {
 	case QUAR_FREE: return 0;
 	case QUAR_TRIAL: r->on_trial = 1; return 0;
 	case QUAR_BLOCKED: rq_block(r); return 1;
@@ -219,7 +220,7 @@
 
 void rq_poison_start(int first_start)
 {
-	static const struct poison_hooks hooks = {on_blocked, look};
+	static const struct quarantine_hooks hooks = {on_blocked, look};
 
-	poison_start(first_start, &hooks);
+	quarantine_start(first_start, &hooks);
 }
--- a/src/relay/rq_rollout.c
+++ b/src/relay/rq_rollout.c
@@ -17,7 +17,7 @@
 		      l->be->cold_until_us > clock_us();
 }
 
-void leg_tell_version(const struct leg *l, enum ro_end how)
+void leg_tell_version(const struct leg *l, enum ro_result how)
 {
-	ro_ended(l->be, g_str_hash(l->rq->route->name), how, took_us(l));
+	ro_note_result(l->be, g_str_hash(l->rq->route->name), how, took_us(l));
 }
--- a/src/relay/rq_send.c
+++ b/src/relay/rq_send.c
@@ -43,7 +43,7 @@
 		.group = r->group ? r->group->name : NULL,
 		.deadline_us = r->end_us - clock_us(),
 		.priority = copy ? 0 : priority(r),
-		.backup_at = l->backup ? l->backup->address : NULL,
+		.replica_at = l->backup ? l->backup->address : NULL,
 		.copy_at = copy_at,
 		.copy = copy,
 		.resume_after = r->seen.id[0] ? r->seen.id : NULL,
@@ -93,10 +93,10 @@
 	evs_init(&l->evs);
 	r->sends++;
 	leg_note_cold(l);
-	ro_sent(b, r->sends == 1);
+	ro_note_sent(b, r->sends == 1);
 	log_sent(l, copy);
 	l->hx = hx_new(l);
-	l->hx->on_up = leg_on_up;
+	l->hx->on_connected = leg_on_up;
 	l->hx->on_head = leg_on_head;
 	l->hx->on_body = leg_on_body;
 	l->hx->on_end = leg_on_end;
--- a/src/relay/rq_silent.c
+++ b/src/relay/rq_silent.c
@@ -97,7 +97,7 @@
 	if (rq_repeatable(r) && !r->event_us) return 0; /* a new run is no loss */
 	if (!r->leg || r->leg->be != b) return 0;
 	if (!may_be_silent(r) || rq_silence_us(r) < ask_us(r)) return 0;
-	return dl_report_made(p, r->in.id, made) && *made > r->seen.count;
+	return dl_report_events(p, r->in.id, made) && *made > r->seen.count;
 }
 
 void rq_on_report(struct be *b, const struct dl_report *p)
--- a/src/relay/rq_time.c
+++ b/src/relay/rq_time.c
@@ -33,7 +33,7 @@
 		return;
 	}
 	if (is_servers_fault(r)) {
-		leg_tell_version(r->leg, RO_BADLY);
+		leg_tell_version(r->leg, RO_FAILED);
 		be_failed(r->leg->be, "no answer in time");
 	}
 	rq_fail(r, REF_DEADLINE, "the time ran out");
@@ -98,11 +98,11 @@
 
 	if (r->runs + 1 >= r->route->attempts || !rq_may_repeat(r)) return 0;
 	if (blame) {
-		leg_tell_version(l, RO_BADLY);
+		leg_tell_version(l, RO_FAILED);
 		be_failed(l->be, "silent");
 	}
 	met_retried(l->answered ? RETRY_RESUME : RETRY_FIRST_BYTE);
-	if (l->hx->up)
+	if (l->hx->connected)
 		r->runs++;
 	else
 		r->unreached++;
--- a/src/relay/rq_turn.c
+++ b/src/relay/rq_turn.c
@@ -29,7 +29,7 @@
 	struct turns *t = arg;
 	int64_t in_us = be_usable_in(b, t->now), wait_us;
 
-	if (in_us == INT64_MAX || !ro_is(b, t->parts) || !rq_allows(t->r, b)) return 1;
+	if (in_us == INT64_MAX || !ro_matches(b, t->parts) || !rq_allows(t->r, b)) return 1;
 	wait_us = pace_wait_us(b, t->r->service, t->now);
 	t->s[t->n].first_us = MAX(in_us, wait_us);
 	t->s[t->n].gap_us = pace_gap_us(b, t->r->service, t->now);
@@ -47,7 +47,7 @@
 	t.r = r;
 	t.now = clock_us();
 	t.least = QUOTA_NEVER;
-	t.parts = ro_parts_else(r->service->name);
+	t.parts = ro_allowed_fallback(r->service->name);
 	t.first = NULL;
 	t.answer_us = 0;
 	t.n = 0;
--- a/test/pw_caller.c
+++ b/test/pw_caller.c
@@ -200,7 +200,7 @@
 	r->in = g_string_new(NULL);
 	r->bytes = bytes;
 	r->n = n;
-	r->cn.on_up = raw_up;
+	r->cn.on_connected = raw_up;
 	r->cn.on_data = raw_data;
 	r->cn.on_end = raw_end;
 	cn_connect(&r->cn, &at);
--- a/test/pw_peer.c
+++ b/test/pw_peer.c
@@ -397,7 +397,7 @@
 	struct sockaddr_in at;
 
 	pw_address(me->entry, PW_PEER, &at);
-	c->cn.on_up = on_link_up;
+	c->cn.on_connected = on_link_up;
 	if (!cn_connect(&c->cn, &at)) return c;
 	close_cn(c);
 	return NULL;
--- a/test/pw_server.c
+++ b/test/pw_server.c
@@ -276,7 +276,7 @@
 	s->events = 30;
 	s->listener.limits = pw_limits;
 	s->listener.on_request = on_request;
-	s->listener.on_left = on_left;
+	s->listener.on_disconnect = on_left;
 	pw_server_listen(s);
 	g_ptr_array_add(servers, s);
 	return s;
--- a/test/pw_store.c
+++ b/test/pw_store.c
@@ -457,7 +457,7 @@
 	pw_address_of(ip, PW_STORE, &at);
 	l->limits = pw_limits;
 	l->on_request = on_request;
-	l->on_left = on_left;
+	l->on_disconnect = on_left;
 	hs_listen(l, &at);
 }
 
--- a/test/test_canary.c
+++ b/test/test_canary.c
@@ -1,14 +1,14 @@
-/* Operators bring in new versions: good ones take over in time, bad ones get little and are
- * rolled back, whatever else happens meanwhile. */
+/* Rollouts: good versions take over in time; bad ones get a bounded share of the requests and
+ * are rolled back, also under faults of instances and of the store. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
 #include <signal.h>
 #include <string.h>
 
-#define CALL_EACH_MS 6 /* a call at each such step */
-#define FOR_S 5
-#define SHARE 0.1 /* bounds that entries are told: a bad version gets no more */
+#define CALL_INTERVAL_MS 6 /* between two calls */
+#define DURATION_S 5
+#define SHARE 0.1 /* bounds in SETTINGS on the requests to a bad version */
 #define SLACK 50
 #define SETTINGS "bounds.exposureShare=0.1\nbounds.exposureSlack=50\n"
 
@@ -50,11 +50,11 @@
 	g_snprintf(key, sizeof key, "op/rollout/%s", service);
 	g_snprintf(value, sizeof value,
 		   "{\"service\":\"%s\",\"targetVersion\":\"%s\",\"durationS\":%d}", service,
-		   version, FOR_S);
+		   version, DURATION_S);
 	pw_store_put(key, value);
 }
 
-static void bring_in(enum pw_mode mode, int work_ms)
+static void roll_out(enum pw_mode mode, int work_ms)
 {
 	int i;
 
@@ -66,14 +66,14 @@
 	}
 }
 
-/* Calls for so long, at each entry in turn. */
+/* Sends calls to the entries in turn for ms. */
 static void load(struct pw_entry **e, int n, int ms)
 {
 	int64_t until = clock_us() + ms * 1000LL;
 
 	while (clock_us() < until) {
 		g_ptr_array_add(calls, pw_ask(e[sent++ % n], "GET", "/safe/", 4000));
-		pw_run(CALL_EACH_MS);
+		pw_run(CALL_INTERVAL_MS);
 	}
 }
 
@@ -95,16 +95,16 @@
 	return s[0]->arrivals + s[1]->arrivals + s[2]->arrivals;
 }
 
-static int bound(void)
+static int max_canary_requests(void)
 {
 	return (int)(SHARE * sent) + SLACK;
 }
 
-static int state_is(const char *service, const char *word)
+static int state_is(const char *service, const char *state)
 {
 	char *key = g_strconcat("status/rollout/", service, NULL);
 	char *value = pw_store_value(key);
-	int is = value && strstr(value, word) != NULL;
+	int is = value && strstr(value, state) != NULL;
 
 	g_free(value);
 	g_free(key);
@@ -117,12 +117,12 @@
 
 	begin(e, 1);
 	load(e, 1, 300);
-	bring_in(PW_OK, 0);
-	load(e, 1, FOR_S * 1000 / 2);
+	roll_out(PW_OK, 0);
+	load(e, 1, DURATION_S * 1000 / 2);
 	CU_ASSERT(state_is("app", "running"));
 	CU_ASSERT(arrivals(new) > 0);
-	CU_ASSERT(arrivals(new) <= bound());
-	load(e, 1, FOR_S * 1000 / 2);
+	CU_ASSERT(arrivals(new) <= max_canary_requests());
+	load(e, 1, DURATION_S * 1000 / 2);
 	CU_ASSERT(state_is("app", "completed"));
 	old[0]->arrivals = old[1]->arrivals = old[2]->arrivals = 0;
 	load(e, 1, 300);
@@ -131,11 +131,11 @@
 	end();
 }
 
-static void rolled_back(struct pw_entry **e, int n)
+static void check_rolled_back(struct pw_entry **e, int n)
 {
-	load(e, n, FOR_S * 1000);
+	load(e, n, DURATION_S * 1000);
 	CU_ASSERT(state_is("app", "rolled_back"));
-	CU_ASSERT(arrivals(new) <= bound());
+	CU_ASSERT(arrivals(new) <= max_canary_requests());
 	new[0]->arrivals = new[1]->arrivals = new[2]->arrivals = 0;
 	load(e, n, 500);
 	CU_ASSERT_EQUAL(arrivals(new), 0);
@@ -146,8 +146,8 @@
 	struct pw_entry *e[2];
 
 	begin(e, 2);
-	bring_in(PW_ERROR, 0);
-	rolled_back(e, 2);
+	roll_out(PW_ERROR, 0);
+	check_rolled_back(e, 2);
 	end();
 }
 
@@ -156,50 +156,50 @@
 	struct pw_entry *e[2];
 
 	begin(e, 2);
-	bring_in(PW_OK, 40);
-	rolled_back(e, 2);
+	roll_out(PW_OK, 40);
+	check_rolled_back(e, 2);
 	end();
 }
 
-/* Just before it would be found good. */
+/* Just before the version would be found good. */
 static void a_version_that_turns_bad_late_is_rolled_back(void)
 {
 	struct pw_entry *e[1];
 	int i;
 
 	begin(e, 1);
-	bring_in(PW_OK, 0);
-	load(e, 1, FOR_S * 1000 / 2);
+	roll_out(PW_OK, 0);
+	load(e, 1, DURATION_S * 1000 / 2);
 	for (i = 0; i < 3; i++) new[i]->mode = PW_ERROR;
-	load(e, 1, FOR_S * 1000 / 2);
+	load(e, 1, DURATION_S * 1000 / 2);
 	CU_ASSERT(state_is("app", "rolled_back"));
-	CU_ASSERT(arrivals(new) <= bound());
+	CU_ASSERT(arrivals(new) <= max_canary_requests());
 	end();
 }
 
-/* Whoever wrote last is killed; another one goes on from what the store has. */
+/* An instance is killed during the rollout; another one continues from the stored status. */
 static void the_writer_may_be_killed(void)
 {
 	struct pw_entry *e[2];
 
 	begin(e, 2);
-	bring_in(PW_OK, 0);
+	roll_out(PW_OK, 0);
 	load(e, 2, 1000);
 	pw_entry_kill(e[0], SIGKILL);
 	pw_entry_wait(e[0], 500);
-	load(&e[1], 1, FOR_S * 1000 - 1500);
+	load(&e[1], 1, DURATION_S * 1000 - 1500);
 	CU_ASSERT(state_is("app", "completed"));
 	end();
 }
 
-/* All of them at once, after it was rolled back: the store tells those that start. */
+/* All instances restart after a rollback and read its status from the store. */
 static void what_was_rolled_back_stays_so(void)
 {
 	struct pw_entry *e[2];
 	int i;
 
 	begin(e, 2);
-	bring_in(PW_ERROR, 0);
+	roll_out(PW_ERROR, 0);
 	load(e, 2, 2500);
 	CU_ASSERT(state_is("app", "rolled_back"));
 	for (i = 0; i < 2; i++) pw_entry_kill(e[i], SIGKILL);
@@ -213,44 +213,46 @@
 	end();
 }
 
-/* Nothing goes to a version while nobody can say how far it is; after that all goes on. */
+/* No request goes to a version whose stage is unknown; the rollout continues when the store is
+ * back. */
 static void a_store_that_is_away_holds_it_up(void)
 {
 	struct pw_entry *e[1];
 
 	begin(e, 1);
 	load(e, 1, 300);
-	bring_in(PW_OK, 0);
-	pw_run(50); /* told, and not written yet in most plays */
+	roll_out(PW_OK, 0);
+	pw_run(50); /* the order has arrived, and mostly no status is written yet */
 	pw_store.mode = PW_STORE_DOWN;
 	load(e, 1, 1500);
-	CU_ASSERT(arrivals(new) <= bound());
+	CU_ASSERT(arrivals(new) <= max_canary_requests());
 	pw_store.mode = PW_STORE_OK;
-	load(e, 1, FOR_S * 1000 - 500);
+	load(e, 1, DURATION_S * 1000 - 500);
 	CU_ASSERT(state_is("app", "completed"));
 	CU_ASSERT_EQUAL(failed(), 0);
 	end();
 }
 
-/* It gets nothing more although nobody can write so; whoever is left writes it later. */
+/* A bad version gets no more requests although the store is down; a surviving instance writes
+ * the status later. */
 static void a_version_is_rolled_back_while_the_store_is_away(void)
 {
 	struct pw_entry *e[2];
 	int i;
 
 	begin(e, 2);
-	bring_in(PW_OK, 0);
+	roll_out(PW_OK, 0);
 	load(e, 2, 700);
 	CU_ASSERT(state_is("app", "running"));
 	pw_store.mode = PW_STORE_DOWN;
 	for (i = 0; i < 3; i++) new[i]->mode = PW_ERROR;
 	load(e, 2, 2500);
 	CU_ASSERT(arrivals(new) > 0);
-	CU_ASSERT(arrivals(new) <= bound());
+	CU_ASSERT(arrivals(new) <= max_canary_requests());
 	new[0]->arrivals = new[1]->arrivals = new[2]->arrivals = 0;
 	load(e, 2, 500);
 	CU_ASSERT_EQUAL(arrivals(new), 0);
-	pw_entry_kill(e[0], SIGKILL); /* between verdict and write */
+	pw_entry_kill(e[0], SIGKILL); /* between the verdict and its write */
 	pw_entry_wait(e[0], 500);
 	pw_store.mode = PW_STORE_OK;
 	load(&e[1], 1, 3000);
@@ -275,14 +277,14 @@
 	end();
 }
 
-/* It stays on its way: nobody can say that it is good. */
+/* Without servers there is no evidence that the version is good. */
 static void a_version_without_servers_is_not_completed(void)
 {
 	struct pw_entry *e[1];
 
 	begin(e, 1);
 	order("app", "v9");
-	load(e, 1, FOR_S * 1000);
+	load(e, 1, DURATION_S * 1000);
 	CU_ASSERT(state_is("app", "running"));
 	CU_ASSERT_EQUAL(failed(), 0);
 	end();
@@ -295,13 +297,13 @@
 	int before;
 
 	begin(e, 1);
-	bring_in(PW_OK, 0);
+	roll_out(PW_OK, 0);
 	load(e, 1, 1000);
 	order("app", "v3");
 	third = add("app", 0, "v3");
 	pw_run(100);
 	before = arrivals(new);
-	load(e, 1, FOR_S * 1000);
+	load(e, 1, DURATION_S * 1000);
 	CU_ASSERT_EQUAL(arrivals(new), before);
 	CU_ASSERT(third->arrivals > 0);
 	CU_ASSERT(state_is("app", "completed"));
@@ -310,7 +312,7 @@
 	end();
 }
 
-/* One that leaves after its first events. */
+/* Starts a stream; the caller disconnects after its first events. */
 static struct pw_call *ask_and_run(struct pw_entry *e, int ms)
 {
 	struct pw_call *c = pw_ask(e, "POST", "/sum/", 9000);
@@ -319,7 +321,7 @@
 	return c;
 }
 
-/* Streams that run at the old version are done or moved before it is stopped. */
+/* Streams at the old version complete or move before its servers stop. */
 static void streams_outlive_the_old_version(void)
 {
 	struct pw_server *first, *engine[2];
@@ -341,7 +343,7 @@
 		engine[i] = add("llm", 1, "v2");
 		engine[i]->events = 700;
 	}
-	for (i = 0; i < 100; i++) pw_call_leave(ask_and_run(e, FOR_S * 10));
+	for (i = 0; i < 100; i++) pw_call_leave(ask_and_run(e, DURATION_S * 10));
 	CU_ASSERT(state_is("llm", "completed"));
 	pw_server_die(first);
 	for (i = 0; i < 4; i++) {
@@ -351,7 +353,7 @@
 	pw_end();
 }
 
-/* One of them is bad. */
+/* Only one of the two is bad. */
 static void two_services_at_once_are_told_apart(void)
 {
 	struct pw_entry *e[1];
@@ -366,10 +368,10 @@
 	}
 	pw_run(100);
 	order("llm", "v2");
-	bring_in(PW_ERROR, 0);
-	until = clock_us() + FOR_S * 1000000LL;
+	roll_out(PW_ERROR, 0);
+	until = clock_us() + DURATION_S * 1000000LL;
 	while (clock_us() < until) {
-		load(e, 1, 2 * CALL_EACH_MS);
+		load(e, 1, 2 * CALL_INTERVAL_MS);
 		pw_ask(e[0], "POST", "/sum/", 3000);
 	}
 	CU_ASSERT(state_is("app", "rolled_back"));
--- a/test/test_crash.c
+++ b/test/test_crash.c
@@ -1,11 +1,11 @@
 /*
- * One caller sent the same summary again and again. Every engine that began to run it ended,
- * and with it the streams of others that ran there. Each try was a new request to whichever
- * instance it came to, so nothing ever stopped it: in the logs "exchange_broke ...
- * may_have_run" named 28 engines in twelve seconds, each with a try that no other try was
- * compared to, and no try had more runs than its route allows. Before the mend 24 tries of the
- * tests here ended 47 backend servers as safe calls, and 24 as calls that may run once and as
- * streams.
+ * Quarantine of a request that crashes the backend servers that run it. A caller sent one
+ * summary again and again, and every engine that began to run it crashed, with the streams of
+ * other callers. Each try was a new request, at whichever instance it reached; no try was
+ * compared to another and none exceeded the attempts of its route, so nothing stopped it: 28
+ * engines crashed within twelve seconds, seen in the log as "exchange_broke ... may_have_run".
+ * Without the quarantine, 24 tries of these tests crash 47 backend servers as safe calls, and
+ * 24 as calls that may run once and as streams.
  */
 #include "check.h"
 #include "clock.h"
@@ -17,15 +17,15 @@
 
 #define SERVERS 12
 #define ENTRIES 3
-#define TRY_MS 300      /* between tries of the request that ends servers */
-#define INNOCENT_MS 40  /* between requests beside it */
-#define CONTACT_MS 3000 /* within it all instances know */
-#define GUILTY "the prompt that ends them"
+#define TRY_MS 300   /* between tries of the request that crashes servers */
+#define OTHERS_MS 40 /* between other requests */
+#define SYNC_MS 3000 /* by then all instances hold the verdict */
+#define CRASHING "the prompt that ends them"
 
-struct day {
+struct scenario {
 	struct pw_entry *e[ENTRIES];
 	struct pw_server *s[SERVERS];
-	GPtrArray *guilty, *innocent; /* of struct pw_call */
+	GPtrArray *crashing, *others; /* of struct pw_call */
 };
 
 static struct pw_call *ask(struct pw_entry *e, const char *method, const char *path,
@@ -44,30 +44,30 @@
 	return c;
 }
 
-static void day_begin(struct day *d, const char *service, int engine)
+static void scenario_begin(struct scenario *d, const char *service, int engine)
 {
 	int i;
 
 	pw_init();
-	/* What holds a repeat back here is never the fleet's allowance of them. */
+	/* Large enough that the fleet's retry budget never prevents a retry here. */
 	pw_settings("bounds.budgetSlack=1000\n");
 	for (i = 0; i < SERVERS; i++) d->s[i] = pw_server_add(service, engine);
 	for (i = 0; i < ENTRIES; i++) d->e[i] = pw_entry_ready();
 	pw_run(900);
-	d->guilty = g_ptr_array_new();
-	d->innocent = g_ptr_array_new();
-	pw_crash = (struct pw_crash){.body = GUILTY, .after_ms = 30, .back_ms = 700};
+	d->crashing = g_ptr_array_new();
+	d->others = g_ptr_array_new();
+	pw_crash = (struct pw_crash){.body = CRASHING, .after_ms = 30, .back_ms = 700};
 }
 
-static void day_end(struct day *d)
+static void scenario_end(struct scenario *d)
 {
-	g_ptr_array_free(d->guilty, TRUE);
-	g_ptr_array_free(d->innocent, TRUE);
+	g_ptr_array_free(d->crashing, TRUE);
+	g_ptr_array_free(d->others, TRUE);
 	pw_end();
 }
 
-/* The request that ends servers at one instance after the other, others beside it. */
-static void play(struct day *d, const char *method, const char *path, int ms)
+/* Sends the crashing request to each instance in turn, and other requests beside it. */
+static void send_load(struct scenario *d, const char *method, const char *path, int ms)
 {
 	int at;
 
@@ -76,11 +76,11 @@
 		char own[32];
 
 		if (at % TRY_MS == 0)
-			g_ptr_array_add(d->guilty, ask(d->e[at / TRY_MS % ENTRIES], method,
-						       path, "k1", GUILTY));
+			g_ptr_array_add(d->crashing, ask(d->e[at / TRY_MS % ENTRIES], method,
+							 path, "k1", CRASHING));
 		g_snprintf(own, sizeof own, "prompt %d", at);
-		if (at % INNOCENT_MS == 0)
-			g_ptr_array_add(d->innocent, ask(e, method, path, "k1", own));
+		if (at % OTHERS_MS == 0)
+			g_ptr_array_add(d->others, ask(e, method, path, "k1", own));
 		pw_run(20);
 	}
 	pw_run(1500);
@@ -104,7 +104,7 @@
 	return g_ptr_array_index(calls, calls->len - 1);
 }
 
-/* Final, within some ms, and no promise to run it later. */
+/* The refusal is final, came within ms, and does not suggest a retry. */
 static void check_final_within(const struct pw_call *c, int ms)
 {
 	CU_ASSERT(c->ended);
@@ -119,107 +119,107 @@
 	check_final_within(c, 100);
 }
 
-/* ---- what is stopped ---- */
+/* ---- requests that must be quarantined ---- */
 
-static void few_servers_end(const char *service, int engine, const char *method,
-			    const char *path)
+static void check_few_crashes(const char *service, int engine, const char *method,
+			      const char *path)
 {
-	struct day d;
+	struct scenario d;
 
-	day_begin(&d, service, engine);
-	play(&d, method, path, 7200);
+	scenario_begin(&d, service, engine);
+	send_load(&d, method, path, 7200);
 	CU_ASSERT(pw_crash.ends >= 3);
 	CU_ASSERT(pw_crash.ends <= 6);
-	CU_ASSERT_EQUAL(pw_crash_runs_after(CONTACT_MS), 0);
-	CU_ASSERT(served(d.innocent) * 100 >= 96 * (int)d.innocent->len);
-	check_final(last_of(d.guilty));
-	day_end(&d);
+	CU_ASSERT_EQUAL(pw_crash_runs_after(SYNC_MS), 0);
+	CU_ASSERT(served(d.others) * 100 >= 96 * (int)d.others->len);
+	check_final(last_of(d.crashing));
+	scenario_end(&d);
 }
 
 static void a_call_that_ends_servers_is_stopped(void)
 {
-	few_servers_end("app", 0, "POST", "/safe/");
+	check_few_crashes("app", 0, "POST", "/safe/");
 }
 
 static void a_call_that_may_run_once_and_ends_servers_is_stopped(void)
 {
-	few_servers_end("app", 0, "POST", "/unsafe/");
+	check_few_crashes("app", 0, "POST", "/unsafe/");
 }
 
 static void a_stream_that_ends_engines_is_stopped(void)
 {
-	few_servers_end("llm", 1, "POST", "/sum/");
+	check_few_crashes("llm", 1, "POST", "/sum/");
 }
 
-/* Callers send it to all instances at once, again and again. */
+/* Callers send the same request to all instances concurrently. */
 static void copies_at_once_are_one_request(void)
 {
-	struct day d;
+	struct scenario d;
 	int at;
 
-	day_begin(&d, "llm", 1);
+	scenario_begin(&d, "llm", 1);
 	pw_crash.after_ms = 150;
 	for (at = 0; at < 4500; at += 100)
-		pw_run((ask(d.e[at / 100 % ENTRIES], "POST", "/sum/", "k1", GUILTY), 100));
+		pw_run((ask(d.e[at / 100 % ENTRIES], "POST", "/sum/", "k1", CRASHING), 100));
 	CU_ASSERT(pw_crash.ends >= 3);
 	CU_ASSERT(pw_crash.ends <= 6);
 	CU_ASSERT_EQUAL(pw_crash_runs_after(500), 0);
-	day_end(&d);
+	scenario_end(&d);
 }
 
-/* Blames it at all instances; the last try. */
-static struct pw_call *blame(struct day *d)
+/* Gets the request quarantined at all instances; returns the last try. */
+static struct pw_call *quarantine(struct scenario *d)
 {
 	struct pw_call *c = NULL;
 	int i;
 
 	for (i = 0; i < 9 && pw_crash.ends < 3; i++) {
-		c = ask(d->e[i % ENTRIES], "POST", "/safe/", "k1", GUILTY);
+		c = ask(d->e[i % ENTRIES], "POST", "/safe/", "k1", CRASHING);
 		pw_call_wait(c, 2000);
 	}
 	pw_run(400);
-	c = ask(d->e[0], "POST", "/safe/", "k1", GUILTY);
+	c = ask(d->e[0], "POST", "/safe/", "k1", CRASHING);
 	pw_call_wait(c, 2000);
 	check_final(c);
 	return c;
 }
 
-/* Whoever shares the workspace, or guesses nearly the same, is served. */
+/* Similar requests, and the same one in another workspace or at another path, are served. */
 static void other_requests_go_on(void)
 {
 	static const char *const other[] = {"the prompt that ends them.",
 					    "the prompt that ends thems", "The prompt", ""};
-	struct day d;
+	struct scenario d;
 	struct pw_call *c;
 	int i;
 
-	day_begin(&d, "app", 0);
-	blame(&d);
+	scenario_begin(&d, "app", 0);
+	quarantine(&d);
 	for (i = 0; i < 4; i++) {
 		c = ask(d.e[i % ENTRIES], "POST", "/safe/", "k1", other[i]);
 		CU_ASSERT(pw_call_wait(c, 2000));
 		CU_ASSERT_EQUAL(c->status, 200);
 	}
-	pw_crash.body = NULL; /* of another caller it ends nothing */
-	c = ask(d.e[0], "POST", "/safe/", "k2", GUILTY);
+	pw_crash.body = NULL; /* nothing crashes from here on */
+	c = ask(d.e[0], "POST", "/safe/", "k2", CRASHING);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
-	c = ask(d.e[0], "POST", "/safe/other", "k1", GUILTY);
+	c = ask(d.e[0], "POST", "/safe/other", "k1", CRASHING);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
-	day_end(&d);
+	scenario_end(&d);
 }
 
 static void an_instance_that_starts_hears_of_it_before_it_serves(void)
 {
-	struct day d;
+	struct scenario d;
 	struct pw_call *c;
 	int i, ends;
 
-	day_begin(&d, "app", 0);
-	blame(&d);
+	scenario_begin(&d, "app", 0);
+	quarantine(&d);
 	ends = pw_crash.ends;
-	pw_store.mode = PW_STORE_SILENT; /* it has nothing to do with the store */
+	pw_store.mode = PW_STORE_SILENT; /* verdicts do not depend on the store */
 	for (i = 0; i < 2; i++) {
 		pw_entry_kill(d.e[i], SIGKILL);
 		pw_entry_wait(d.e[i], 1000);
@@ -227,26 +227,26 @@
 		pw_entry_again(d.e[i]);
 		do {
 			pw_run(5);
-			c = ask(d.e[i], "POST", "/safe/", "k1", GUILTY);
+			c = ask(d.e[i], "POST", "/safe/", "k1", CRASHING);
 			pw_call_wait(c, 2000);
 		} while (c->err || c->status == 503);
-		check_final_within(c, 400); /* it waited for word of others */
+		check_final_within(c, 400); /* it waited for the verdicts of the others */
 	}
 	CU_ASSERT_EQUAL(pw_crash.ends, ends);
-	day_end(&d);
+	scenario_end(&d);
 }
 
-/* The store is away for all, and the one that saw the ends dies right after. */
+/* The store is down for all, and the instance that saw the crashes dies right after. */
 static void all_know_while_the_store_is_away(void)
 {
-	struct day d;
+	struct scenario d;
 	struct pw_call *c;
 	int i, ends;
 
-	day_begin(&d, "app", 0);
+	scenario_begin(&d, "app", 0);
 	pw_store.mode = PW_STORE_DOWN;
 	for (i = 0; i < 6 && pw_crash.ends < 3; i++) {
-		c = ask(d.e[0], "POST", "/safe/", "k1", GUILTY);
+		c = ask(d.e[0], "POST", "/safe/", "k1", CRASHING);
 		pw_call_wait(c, 2000);
 	}
 	pw_run(100);
@@ -254,28 +254,28 @@
 	pw_run(500);
 	ends = pw_crash.ends;
 	for (i = 1; i < ENTRIES; i++) {
-		c = ask(d.e[i], "POST", "/safe/", "k1", GUILTY);
+		c = ask(d.e[i], "POST", "/safe/", "k1", CRASHING);
 		pw_call_wait(c, 2000);
 		check_final(c);
 	}
 	CU_ASSERT_EQUAL(pw_crash.ends, ends);
 	pw_store.mode = PW_STORE_OK;
-	day_end(&d);
+	scenario_end(&d);
 }
 
-/* From an engine that ended to the request, and back: logs, metrics, the operator's word. */
+/* Logs, metrics and the list of quarantined requests identify it; an operator clears it. */
 static void an_operator_finds_it_and_clears_it(void)
 {
-	struct day d;
+	struct scenario d;
 	struct pw_call *c;
 	GString *out = g_string_new(NULL);
 	char print[33] = "", target[64], head[128];
 	char *at, *raw;
 	int i;
 
-	day_begin(&d, "app", 0);
-	blame(&d);
-	pw_crash.body = NULL; /* what was wrong with it is mended */
+	scenario_begin(&d, "app", 0);
+	quarantine(&d);
+	pw_crash.body = NULL; /* the request does not crash servers any more */
 	CU_ASSERT_EQUAL(pw_metric(d.e[0], "saddlehead_blocked"), 1);
 	CU_ASSERT(pw_metric(d.e[0], "saddlehead_refused_total{reason=\"crashes_engines\"}") >=
 		  1);
@@ -296,20 +296,20 @@
 	g_free(raw);
 	pw_run(100);
 	for (i = 0; i < ENTRIES; i++) {
-		c = ask(d.e[i], "POST", "/safe/", "k1", GUILTY);
+		c = ask(d.e[i], "POST", "/safe/", "k1", CRASHING);
 		CU_ASSERT(pw_call_wait(c, 2000));
 		CU_ASSERT_EQUAL(c->status, 200);
 		CU_ASSERT_EQUAL(pw_metric(d.e[i], "saddlehead_blocked"), 0);
 	}
 	g_string_free(out, TRUE);
-	day_end(&d);
+	scenario_end(&d);
 }
 
-/* ---- what others tell ---- */
+/* ---- reports of other instances ---- */
 
-#define WIDE 20 /* peers on wide links: more than callers are sent to */
+#define WIDE 20 /* peers on wide links: more than receive caller traffic */
 
-static struct fp print_of(const char *body)
+static struct fp fingerprint_of(const char *body)
 {
 	struct fp fp;
 	struct fp_parts parts = {"POST", "test.example", "/safe/", "k1", body, strlen(body)};
@@ -318,11 +318,12 @@
 	return fp;
 }
 
-/* Callers with an older list come to it all the same. */
+/* A standby instance receives verdicts too, as callers with an older list may still reach it.
+ */
 static void an_instance_that_stands_by_is_told(void)
 {
 	struct pw_peer *p[WIDE];
-	struct fp fp = print_of(GUILTY);
+	struct fp fp = fingerprint_of(CRASHING);
 	struct pw_server *s;
 	struct pw_entry *e;
 	struct pw_call *c;
@@ -341,7 +342,7 @@
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_active"), 0);
 	pw_peer_tells_verdict(p[0], &fp);
 	pw_run(50);
-	c = ask(e, "POST", "/safe/", "k1", GUILTY);
+	c = ask(e, "POST", "/safe/", "k1", CRASHING);
 	pw_call_wait(c, 2000);
 	check_final(c);
 	CU_ASSERT_EQUAL(s->arrivals, 0);
@@ -349,29 +350,29 @@
 	pw_end();
 }
 
-/* Whoever says with its heartbeat that it knows less is told again: a message may be lost. */
+/* A message may be lost: a peer whose heartbeat lacks a verdict is sent it again. */
 static void whoever_missed_a_verdict_is_told_again(void)
 {
-	struct day d;
+	struct scenario d;
 	struct pw_peer *p;
 
-	day_begin(&d, "app", 0);
+	scenario_begin(&d, "app", 0);
 	p = pw_peer_new(d.e[0], 0);
 	p->takes_callers = 1;
 	pw_run(600);
 	CU_ASSERT_EQUAL(p->verdicts, 0);
-	blame(&d);
+	quarantine(&d);
 	pw_run(1000);
 	CU_ASSERT(p->verdicts >= 3);
 	pw_peers_end();
-	day_end(&d);
+	scenario_end(&d);
 }
 
-/* Ends of servers under it, each seen by another instance. */
+/* Crashes of servers under one request, seen by different instances. */
 static void ends_that_several_saw_count_together(void)
 {
 	struct pw_peer *p[2];
-	struct fp fp = print_of(GUILTY);
+	struct fp fp = fingerprint_of(CRASHING);
 	struct pw_server *s[3];
 	struct pw_entry *e = pw_init_with(s, 3);
 	struct pw_call *c;
@@ -384,10 +385,10 @@
 	pw_run(600);
 	for (i = 0; i < 2; i++) pw_peer_tells_end(p[i], "one", &fp, 20);
 	pw_run(400);
-	c = ask(e, "POST", "/safe/", "k1", GUILTY);
+	c = ask(e, "POST", "/safe/", "k1", CRASHING);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
-	pw_run(2100); /* what came through then says nothing of later ends */
+	pw_run(2100); /* until that success does not cover later crashes any more */
 	for (i = 0; i < 3; i++) {
 		char name[16];
 
@@ -396,17 +397,18 @@
 		pw_run(150);
 	}
 	pw_run(400);
-	c = ask(e, "POST", "/safe/", "k1", GUILTY);
+	c = ask(e, "POST", "/safe/", "k1", CRASHING);
 	pw_call_wait(c, 2000);
 	check_final(c);
 	pw_peers_end();
 	pw_end();
 }
 
-/* An instance that was cut off blames what everybody sends, as it hears nobody else. */
+/* An instance that was cut off may quarantine a common request, as it missed the successes
+ * elsewhere. A success here clears it. */
 static void a_verdict_on_what_comes_through_here_is_taken_back(void)
 {
-	struct fp fp = print_of(GUILTY);
+	struct fp fp = fingerprint_of(CRASHING);
 	struct pw_server *s;
 	struct pw_entry *e = pw_init_with(&s, 1);
 	struct pw_peer *p = pw_peer_new(e, 0);
@@ -416,22 +418,22 @@
 	p->takes_callers = 1;
 	pw_run(600);
 	for (i = 0; i < 2; i++) {
-		c = ask(e, "POST", "/safe/", "k1", GUILTY);
+		c = ask(e, "POST", "/safe/", "k1", CRASHING);
 		CU_ASSERT(pw_call_wait(c, 2000));
 		CU_ASSERT_EQUAL(c->status, 200);
 		if (!i) pw_peer_tells_verdict(p, &fp);
 		pw_run(50);
 	}
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_blocked"), 0);
-	CU_ASSERT(p->verdicts >= 1); /* and the others are told */
+	CU_ASSERT(p->verdicts >= 1); /* and the clearance is sent */
 	pw_peers_end();
 	pw_end();
 }
 
-/* A name as long as any may be: word of its end must not cost the link that brings it. */
+/* The longest name allowed: the report of its crash must not break the link. */
 static void an_end_of_a_server_with_a_long_name_is_heard(void)
 {
-	struct fp fp = print_of(GUILTY);
+	struct fp fp = fingerprint_of(CRASHING);
 	struct pw_server *s;
 	struct pw_entry *e = pw_init_with(&s, 1);
 	struct pw_peer *p = pw_peer_new(e, 0);
@@ -448,30 +450,30 @@
 	pw_end();
 }
 
-/* ---- what is not ---- */
+/* ---- requests that must not be quarantined ---- */
 
-/* Everybody sends the same while ten servers end beside it for another cause, one by one. */
+/* All callers send the same request while ten servers crash for another cause, one by one. */
 static void what_everybody_sends_is_not_blamed(void)
 {
-	struct day d;
+	struct scenario d;
 	int at, next = 0;
 
-	day_begin(&d, "app", 0);
+	scenario_begin(&d, "app", 0);
 	for (at = 0; at < 8000; at += 10) {
-		g_ptr_array_add(d.innocent, ask(d.e[g_random_int_range(0, ENTRIES)], "POST",
-						"/safe/", "k1", "the news of the day"));
+		g_ptr_array_add(d.others, ask(d.e[g_random_int_range(0, ENTRIES)], "POST",
+					      "/safe/", "k1", "the news of the day"));
 		if (at % 700 == 350 && next < 10) pw_crash_now(d.s[next++]);
 		pw_run(10);
 	}
 	pw_run(1000);
-	CU_ASSERT_EQUAL(served(d.innocent), (int)d.innocent->len);
+	CU_ASSERT_EQUAL(served(d.others), (int)d.others->len);
 	for (at = 0; at < ENTRIES; at++)
 		CU_ASSERT_EQUAL(pw_metric(d.e[at], "saddlehead_requests_blocked_total"), 0);
-	day_end(&d);
+	scenario_end(&d);
 }
 
-/* Whatever was not served had run as often as its route lets it: it met that many ends. */
-static void check_used_up(const GPtrArray *calls, int attempts)
+/* Calls that were not served have used all attempts of their route: each met a crash. */
+static void check_attempts_used(const GPtrArray *calls, int attempts)
 {
 	uint32_t i;
 
@@ -484,17 +486,17 @@
 	}
 }
 
-/* The same as streams, a sixth of the engines at once, three times. */
+/* The same with streams; two of twelve engines crash at once, three times. */
 static void streams_that_everybody_sends_are_not_blamed(void)
 {
-	struct day d;
+	struct scenario d;
 	int at, next = 0, i;
 
-	day_begin(&d, "llm", 1);
+	scenario_begin(&d, "llm", 1);
 	for (i = 0; i < SERVERS; i++) d.s[i]->event_ms = 60;
 	for (at = 0; at < 6000; at += 50) {
-		g_ptr_array_add(d.innocent, ask(d.e[at / 50 % ENTRIES], "POST", "/sum/", "k1",
-						"the news of the day"));
+		g_ptr_array_add(d.others, ask(d.e[at / 50 % ENTRIES], "POST", "/sum/", "k1",
+					      "the news of the day"));
 		if (at % 1500 == 1000) {
 			pw_crash_now(d.s[next++]);
 			pw_crash_now(d.s[next++]);
@@ -502,10 +504,10 @@
 		pw_run(50);
 	}
 	pw_run(2500);
-	check_used_up(d.innocent, 2);
+	check_attempts_used(d.others, 2);
 	for (at = 0; at < ENTRIES; at++)
 		CU_ASSERT_EQUAL(pw_metric(d.e[at], "saddlehead_requests_blocked_total"), 0);
-	day_end(&d);
+	scenario_end(&d);
 }
 
 static const struct check tests[] = {
--- a/test/test_fuzz.c
+++ b/test/test_fuzz.c
@@ -1,5 +1,6 @@
-/* What comes from outside is read by the parts that read it, after random changes. FUZZ_SECONDS
- * and FUZZ_SEED in the environment; a crash or a sanitizer's word is the failure. */
+/* Fuzzes the parsers of external input with random mutations of valid messages. FUZZ_SECONDS
+ * and FUZZ_SEED in the environment set the duration and the seed. Fails by a crash or a
+ * sanitizer report. */
 #include "be.h"
 #include "check.h"
 #include "clock.h"
@@ -10,8 +11,8 @@
 #include <msgpack.h>
 #include <stdlib.h>
 
-#define SECONDS 1 /* each, in the usual run */
-#define CHANGES 8 /* fewer than that in one input */
+#define SECONDS 1       /* per parser, by default */
+#define MUTATIONS_MAX 8 /* mutations of one input, exclusive */
 
 static GRand *rnd;
 static char *input;
@@ -24,8 +25,8 @@
 	return s ? atof(s) : SECONDS;
 }
 
-/* One of: a byte changed, a piece cut out, a piece doubled, the end cut off. */
-static void change(GString *s)
+/* Changes a byte, removes a piece, duplicates a piece, or truncates the input. */
+static void mutate(GString *s)
 {
 	gsize at = s->len ? (gsize)g_rand_int_range(rnd, 0, (int)s->len) : 0, n;
 
@@ -46,13 +47,13 @@
 	}
 }
 
-/* The input lies in memory of exactly its size, so that a read beyond it is seen. */
+/* The input is allocated with its exact size, so that sanitizers detect reads beyond it. */
 static void make_input(const char *seed, size_t len)
 {
 	GString *s = g_string_new_len(seed, len);
-	int i, n = g_rand_int_range(rnd, 0, CHANGES);
+	int i, n = g_rand_int_range(rnd, 0, MUTATIONS_MAX);
 
-	for (i = 0; i < n; i++) change(s);
+	for (i = 0; i < n; i++) mutate(s);
 	g_free(input);
 	input_len = s->len;
 	input = g_memdup2(s->str, s->len);
@@ -88,7 +89,7 @@
 	if (hp_feed(&p, input, cut) >= 0 && !p.done) hp_feed(&p, input + cut, input_len - cut);
 	if (p.head_done && request) {
 		if (!dl_read_request(&p.head, &r)) dl_write_request(out, &p.head, &body, &s);
-		dl_question(&p.head);
+		dl_query(&p.head);
 	}
 	if (p.head_done && !request) {
 		dl_read_answer(&p.head, &a);
@@ -132,11 +133,11 @@
 	dl_free_report(&r);
 }
 
-static void read_moved(void)
+static void read_move_reply(void)
 {
-	struct dl_moved m;
+	struct dl_move_reply m;
 
-	dl_read_moved(input, input_len, &m);
+	dl_read_move_reply(input, input_len, &m);
 }
 
 static void read_frame(void)
@@ -222,7 +223,7 @@
 {
 	static const char seed[] = "{\"handle\":\"abcdef\",\"made\":17}";
 
-	CU_ASSERT(fuzz(seed, sizeof seed - 1, read_moved) > 100);
+	CU_ASSERT(fuzz(seed, sizeof seed - 1, read_move_reply) > 100);
 }
 
 static void frames(void)
--- a/test/test_hold.c
+++ b/test/test_hold.c
@@ -89,12 +89,12 @@
 	memset(&listener, 0, sizeof listener);
 	listener.limits = pw_limits;
 	listener.on_request = on_request;
-	listener.on_left = on_left;
+	listener.on_disconnect = on_left;
 	CU_ASSERT_EQUAL(hs_listen(&listener, &at), 0);
 	hs_hold_start(&listener, MOST, on_slow);
 	memset(r, 0, n * sizeof *r);
 	for (i = 0; i < n; i++) {
-		r[i].cn.on_up = on_up;
+		r[i].cn.on_connected = on_up;
 		r[i].cn.on_data = on_data;
 		r[i].cn.on_end = on_end;
 		cn_connect(&r[i].cn, &at);
--- a/test/test_pure.c
+++ b/test/test_pure.c
@@ -1,4 +1,5 @@
-/* The pure parts of the platform path: routes, events, heads, words. */
+/* Unit tests of routes, events, HTTP heads, and messages, lists and settings of the platform.
+ */
 #include "be.h"
 #include "board.h"
 #include "budget.h"
@@ -48,7 +49,7 @@
 	CU_ASSERT(conf_allows(&r, &g, "b"));
 	CU_ASSERT(!conf_allows(&free_route, &g, "c"));
 	CU_ASSERT(conf_allows(&free_route, NULL, "c"));
-	CU_ASSERT(!conf_allows(&r, NULL, NULL)); /* nobody knows where that is */
+	CU_ASSERT(!conf_allows(&r, NULL, NULL)); /* the region is unknown */
 }
 
 static void the_longest_prefix_of_the_host_decides(void)
@@ -163,7 +164,7 @@
 	CU_ASSERT_EQUAL(hp_end(&p), -EPIPE);
 	hp_free(&p);
 	feed(0, "HTTP/1.1 200 OK\r\n\r\nabc", &p);
-	CU_ASSERT_EQUAL(hp_end(&p), 0); /* ends with its connection */
+	CU_ASSERT_EQUAL(hp_end(&p), 0); /* delimited by the end of the connection */
 	hp_free(&p);
 	feed(0, "HTTP/1.1 200 OK\r\nX: y", &p);
 	CU_ASSERT_EQUAL(hp_end(&p), -EPIPE);
@@ -185,7 +186,7 @@
 	hp_free(&p);
 }
 
-/* ---- the platform's words ---- */
+/* ---- the platform's messages, lists and settings ---- */
 
 static void a_handle_is_one_word(void)
 {
@@ -196,14 +197,14 @@
 					  "{\"handle\":7}",
 					  "{\"handle\":\"a/b\"}",
 					  "{}"};
-	struct dl_moved m;
+	struct dl_move_reply m;
 	size_t i;
 
 	for (i = 0; i < sizeof bad / sizeof *bad; i++) {
-		CU_ASSERT_EQUAL(dl_read_moved(bad[i], strlen(bad[i]), &m), -EBADMSG);
+		CU_ASSERT_EQUAL(dl_read_move_reply(bad[i], strlen(bad[i]), &m), -EBADMSG);
 		CU_ASSERT_EQUAL(m.handle[0], '\0');
 	}
-	CU_ASSERT_EQUAL(dl_read_moved("{\"handle\":\"4f-A_9.x\"}", 21, &m), 0);
+	CU_ASSERT_EQUAL(dl_read_move_reply("{\"handle\":\"4f-A_9.x\"}", 21, &m), 0);
 }
 
 static struct conf *read_one(const char *timeout, const char *tenants)
@@ -253,7 +254,7 @@
 	(*(int *)arg)++;
 }
 
-static int handed_on(void)
+static int served_items(void)
 {
 	int n = 0;
 
@@ -273,21 +274,22 @@
 	CU_ASSERT_EQUAL(board_apply(&i, "platform"), 1);
 }
 
-/* Who is handed half of a listing takes it for all there is, and never asks for the rest. */
+/* A peer that is sent an incomplete listing would take it as complete and never fetch the rest.
+ */
 static void a_listing_that_is_not_whole_is_not_handed_on(void)
 {
 	board_init();
 	apply_server("servers/i-1", 7);
 	CU_ASSERT_PTR_NOT_NULL(be_find("i-1")); /* it may be used here */
 	CU_ASSERT_EQUAL(board_revs().backends, 0);
-	CU_ASSERT_EQUAL(handed_on(), 0);
+	CU_ASSERT_EQUAL(served_items(), 0);
 	board_complete(7);
 	CU_ASSERT_EQUAL(board_revs().backends, 7);
-	CU_ASSERT_EQUAL(handed_on(), 1);
+	CU_ASSERT_EQUAL(served_items(), 1);
 }
 
-/* One that was seen before others that changed earlier is no word that these have come: whoever
- * took it so never heard of them. */
+/* A change may arrive before earlier ones. A peer that took its revision as covering those
+ * would never receive them. */
 static void a_later_change_is_not_handed_on_before_earlier_ones(void)
 {
 	board_init();
@@ -295,10 +297,10 @@
 	board_complete(7);
 	apply_server("servers/i-2", 12);
 	CU_ASSERT_EQUAL(board_revs().backends, 7);
-	CU_ASSERT_EQUAL(handed_on(), 1);
+	CU_ASSERT_EQUAL(served_items(), 1);
 	apply_server("servers/i-3", 9);
 	board_complete(12);
-	CU_ASSERT_EQUAL(handed_on(), 3);
+	CU_ASSERT_EQUAL(served_items(), 3);
 }
 
 static void addresses_are_checked(void)
@@ -314,7 +316,7 @@
 	CU_ASSERT_EQUAL(hostport_parse("host:80", &a), -EINVAL);
 }
 
-/* The settings of an instance, with so many data centres; what dl_read_settings says. */
+/* Reads settings with so many data centres; returns the result of dl_read_settings. */
 static int settings_of(int data_centres, struct entry_cfg *c, struct err *e)
 {
 	GString *g = g_string_new("nodeName=n\nzone=z0\nregion=r\nipAddress=10.0.0.1\n"
@@ -333,7 +335,8 @@
 	return rc;
 }
 
-/* One left out without a word would have no region, and what is bound to one no server. */
+/* A data centre that is silently left out would have no region, and work bound to that region
+ * no server. */
 static void more_data_centres_than_are_supported_are_refused(void)
 {
 	struct entry_cfg c;
--- a/test/test_verdicts.c
+++ b/test/test_verdicts.c
@@ -1,22 +1,22 @@
-/* Who is blamed for servers that end while the links between instances are cut, held up, reset
- * and delayed: wrong verdicts are counted both ways. */
+/* Quarantine verdicts while the links between instances are cut, stalled, reset and delayed.
+ * Counts false positives and false negatives. */
 #include "check.h"
 #include "relayed.h"
 #include <stdio.h>
 #include <string.h>
 
 #define ROUNDS 8
-#define ENDS 5        /* by then two requests that ran on the same servers are told apart */
-#define CRASH_MS 100  /* from when a server begins to run it until it ends */
-#define NOTICE_MS 60  /* then instances have found out */
-#define LISTED_MS 150 /* all know of a new server */
+#define CRASHES 5     /* enough to distinguish two requests that ran on the same servers */
+#define CRASH_MS 100  /* from the start of the run to the crash */
+#define NOTICE_MS 60  /* for instances to detect the crash */
+#define LISTED_MS 150 /* for a new server to reach all instances */
 #define JUDGED_MS 2500
 
-struct day {
+struct scenario {
 	struct relayed f;
 	GRand *rand;
-	char guilty[32], innocent[32];
-	int blamed_wrongly, missed;
+	char crashing[32], bystander[32];
+	int false_positives, false_negatives;
 };
 
 static struct pw_call *ask(struct pw_entry *e, const char *body)
@@ -25,7 +25,7 @@
 		       "X-Request-Id: r\r\nX-Credential: k1\r\nX-Deadline-Ms: 4000\r\n", body);
 }
 
-static struct pw_server *list_alone(int work_ms)
+static struct pw_server *add_server(int work_ms)
 {
 	struct pw_server *s = pw_server_add("app", 0);
 
@@ -34,30 +34,31 @@
 	return s;
 }
 
-/* Some link is disturbed, or mended. */
-static void disturb(struct day *d)
+/* Disturbs or restores a random link. */
+static void disturb(struct scenario *d)
 {
-	struct proxy *way = d->f.way[g_rand_int_range(d->rand, 0, RELAYED)];
+	struct proxy *link = d->f.way[g_rand_int_range(d->rand, 0, RELAYED)];
 
-	proxy_set(way, g_rand_int_range(d->rand, 0, PROXY_MODES));
+	proxy_set(link, g_rand_int_range(d->rand, 0, PROXY_MODES));
 }
 
-/* The server ends under the guilty request at one instance, beside another one at the rest. */
-static void end_one(struct day *d)
+/* A server crashes under the crashing request of one instance while it runs the bystander
+ * request of the others. */
+static void crash_one(struct scenario *d)
 {
 	int i, at = g_rand_int_range(d->rand, 0, RELAYED);
-	struct pw_server *s = list_alone(1000);
+	struct pw_server *s = add_server(1000);
 
 	disturb(d);
 	for (i = 0; i < RELAYED; i++)
-		if (i != at) ask(d->f.e[i], d->innocent);
+		if (i != at) ask(d->f.e[i], d->bystander);
 	pw_run(g_rand_int_range(d->rand, 10, 40));
-	ask(d->f.e[at], d->guilty);
+	ask(d->f.e[at], d->crashing);
 	pw_run(CRASH_MS + NOTICE_MS);
 	pw_server_unlist(s);
 }
 
-static int is_blamed(struct pw_entry *e, const char *body)
+static int is_quarantined(struct pw_entry *e, const char *body)
 {
 	struct pw_call *c = ask(e, body);
 
@@ -65,42 +66,42 @@
 	return strstr(c->body->str, "crashes_engines") != NULL;
 }
 
-static void play_round(struct day *d, int n)
+static void run_round(struct scenario *d, int n)
 {
 	struct pw_server *s;
 	int i;
 
-	g_snprintf(d->guilty, sizeof d->guilty, "guilty %d", n);
-	g_snprintf(d->innocent, sizeof d->innocent, "what everybody sends %d", n);
-	pw_crash.body = d->guilty;
-	for (i = 0; i < ENDS; i++) end_one(d);
+	g_snprintf(d->crashing, sizeof d->crashing, "guilty %d", n);
+	g_snprintf(d->bystander, sizeof d->bystander, "what everybody sends %d", n);
+	pw_crash.body = d->crashing;
+	for (i = 0; i < CRASHES; i++) crash_one(d);
 	for (i = 0; i < RELAYED; i++) proxy_set(d->f.way[i], PROXY_OK);
 	pw_run(JUDGED_MS);
-	pw_crash.body = NULL; /* what is not blamed is served */
-	s = list_alone(5);
+	pw_crash.body = NULL; /* what is not quarantined is served */
+	s = add_server(5);
 	for (i = 0; i < RELAYED; i++) {
-		d->missed += !is_blamed(d->f.e[i], d->guilty);
-		d->blamed_wrongly += is_blamed(d->f.e[i], d->innocent);
+		d->false_negatives += !is_quarantined(d->f.e[i], d->crashing);
+		d->false_positives += is_quarantined(d->f.e[i], d->bystander);
 	}
 	pw_server_unlist(s);
 }
 
-/* Each instance judged by the word that it had: on links like these it blamed what ran beside
- * the guilty request. */
+/* Guards against verdicts from incomplete evidence: on such links an instance quarantined the
+ * request that ran beside the crashing one. */
 static void verdicts_on_disturbed_links_are_right(uint32_t seed)
 {
-	struct day d = {.rand = g_rand_new_with_seed(seed)};
+	struct scenario d = {.rand = g_rand_new_with_seed(seed)};
 	int i;
 
 	pw_init();
 	pw_crash = (struct pw_crash){.after_ms = CRASH_MS};
 	pw_server_add("llm", 1);
 	relayed_begin(&d.f);
-	for (i = 0; i < ROUNDS; i++) play_round(&d, i);
+	for (i = 0; i < ROUNDS; i++) run_round(&d, i);
 	fprintf(stderr, "seed %u: of %d blamed wrongly %d, missed %d\n", seed, ROUNDS * RELAYED,
-		d.blamed_wrongly, d.missed);
-	CU_ASSERT_EQUAL(d.blamed_wrongly, 0);
-	CU_ASSERT_EQUAL(d.missed, 0);
+		d.false_positives, d.false_negatives);
+	CU_ASSERT_EQUAL(d.false_positives, 0);
+	CU_ASSERT_EQUAL(d.false_negatives, 0);
 	g_rand_free(d.rand);
 	relayed_end(&d.f);
 }
