--- a/src/fleet/quarantine.c
+++ b/src/fleet/quarantine.c
@@ -13,8 +13,7 @@
  * crash by itself, some sooner than others. */
 #define JUDGE_US 200000
 #define ANSWER_POLL_US 5000 /* how often the answers of the others are polled */
-/* Peers that hold verdicts send them to a starting instance within some ms of its first links.
- */
+/* Peers send their verdicts to a starting instance within some ms of its first links. */
 #define SYNC_US 100000
 #define SYNC_MAX_US 1000000 /* no peer is reached by then: it serves without their verdicts */
 /* Suspects are watched for this long after a crash: by then the runs of that time have answered
--- a/src/fleet/ro_order.c
+++ b/src/fleet/ro_order.c
@@ -8,8 +8,8 @@
 /* An order seen this soon after the start (beyond join_us) may have been followed by the
  * previous incarnation of this instance, which used its part of the slack. */
 #define SETTLED_US 2000000
-#define WRITE_JITTER_US \
-	200000 /* random delay before the first write: mostly one writer gets ahead */
+/* Most random delay before the first write, so that mostly one writer is first. */
+#define WRITE_JITTER_US 200000
 
 void ro_free(gpointer p)
 {
@@ -33,8 +33,7 @@
 	jlog_end(g);
 }
 
-/* Blocks the version: it was replaced by another order or withdrawn before it was found good.
- */
+/* Blocks a version that was replaced or withdrawn before it was found good. */
 static void abandon(struct ro *o)
 {
 	if (!ro_is_over(o)) be_bar_version(o->service, o->target, 1);
--- a/src/fleet/ro_status.c
+++ b/src/fleet/ro_status.c
@@ -67,7 +67,7 @@
 	o->call = NULL;
 	watch_note_reply(r);
 	if (!r->rc)
-		on_success(o, s, r->at);
+		on_success(o, s, r->revision);
 	else if (r->rc == -ECANCELED)
 		on_conflict(o, r);
 }
--- a/src/fleet/watch.c
+++ b/src/fleet/watch.c
@@ -149,7 +149,7 @@
 	if (!g_hash_table_size(w->listed)) {
 		w->base = board_revs();
 		/* Pages are no snapshot: what changed since the first is watched from there. */
-		w->at = r->at;
+		w->at = r->revision;
 	}
 	apply_all(r, r->sent_us);
 	for (i = 0; i < r->n; i++) g_hash_table_add(w->listed, g_strdup(r->items[i].key));
@@ -201,7 +201,7 @@
 	w->wait_us = 0;
 	w->covered = 1;
 	apply_changes(w, r);
-	if (r->at > w->at) w->at = r->at;
+	if (r->revision > w->at) w->at = r->revision;
 	if (r->n)
 		ev_in(&w->retry, g_random_int_range(REST_MIN_US, REST_MAX_US));
 	else
@@ -340,7 +340,7 @@
 	}
 	if (r->rc) return;
 	apply_changes(w, r);
-	w->at = MAX(w->at, r->at);
+	w->at = MAX(w->at, r->revision);
 }
 
 void watch_glance(void)
--- a/src/fleet/watch_check.c
+++ b/src/fleet/watch_check.c
@@ -81,8 +81,8 @@
 		if (board_apply(&r->items[i], board_platform) && !lists_orders(c))
 			mesh_tell_items(&r->items[i], 1);
 	if (is_in_order(c, r)) {
-		missing = board_apply_missing_of(&page, listed, r->at);
-		if (!lists_orders(c)) tell_missing(missing, r->at);
+		missing = board_apply_missing_of(&page, listed, r->revision);
+		if (!lists_orders(c)) tell_missing(missing, r->revision);
 		g_ptr_array_unref(missing);
 	}
 	g_hash_table_destroy(listed);
--- a/src/http/cn.c
+++ b/src/http/cn.c
@@ -8,7 +8,7 @@
 
 #define READ_SIZE 16384      /* bytes per read; larger ones only use more stack */
 #define SENT_MAX 65536       /* sent bytes at the start of out before they are dropped */
-#define READS_PER_EVENT 4    /* reads of one connection per event, for fairness */
+#define READS_PER_EVENT 4    /* for fairness to other connections */
 #define USER_TIMEOUT_MS 3000 /* unacknowledged bytes for so long end the connection */
 #define KEEPALIVE_IDLE_S 3   /* a peer silent for so long is probed ... */
 #define KEEPALIVE_EVERY_S 1  /* ... this often ... */
--- a/src/http/ev.c
+++ b/src/http/ev.c
@@ -9,7 +9,7 @@
 #include <unistd.h>
 
 #define BATCH 64            /* events per epoll_wait; more only delay timers */
-#define WAIT_MAX_MS 1000    /* longest sleep: bounds the delay until *stop is seen */
+#define WAIT_MAX_MS 1000    /* longest sleep: *stop, set by signals, is seen within it */
 #define TIMER_SLACK_US 1000 /* timers due within it fire together: epoll_wait counts in ms */
 
 /* A round this late means that the process or its machine was suspended. */
--- a/src/http/hs.c
+++ b/src/http/hs.c
@@ -5,7 +5,7 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-#define ACCEPTS_PER_EVENT 64 /* per event, for fairness */
+#define ACCEPTS_PER_EVENT 64 /* for fairness to other sockets */
 #define BODY_KEPT 65536      /* bytes; larger body buffers are freed between requests */
 #define LINGER_US 1000000    /* time for the caller to close first, after the last answer */
 #define BODY_US 20000000     /* to receive a body; heads have their own limit */
--- a/src/http/hs_hold.c
+++ b/src/http/hs_hold.c
@@ -6,7 +6,7 @@
 #define SCAN_US 100000
 #define STALLED_US 1000000  /* without progress: such callers are ended first */
 #define EACH_MAX (1u << 20) /* bytes of one caller: some thousand events */
-#define FREE_PART 4         /* below 1/4 of the limit only EACH_MAX applies */
+#define FREE_PART 4         /* below 1/FREE_PART of the limit only EACH_MAX applies */
 
 static struct hs_listener *listener;
 static size_t max_bytes, buffered;
--- a/src/internal/dialect.h
+++ b/src/internal/dialect.h
@@ -12,22 +12,21 @@
 #include <saddlehead/rollout.h>
 #include <stdint.h>
 
-#define DL_HANDLE_MAX \
-	127 /* characters of the handle of a memory copy; longer ones are invalid */
+#define DL_HANDLE_MAX 127 /* characters of a memory copy's handle */
 
 /* Contents of the head of a caller's request. The strings point into the head. */
 struct dl_request {
-	const char *id; /* of the request, chosen by the caller */
+	const char *id; /* names this attempt of the caller */
 	const char *host, *target;
 	const char *key;                    /* NULL: none */
 	int64_t deadline_us;                /* how long the caller waits; 0: not stated */
 	uint32_t prompt_tokens, output_max; /* 0: not stated */
 	uint32_t output_hint;     /* the caller's estimate of the output tokens; 0: none */
-	const char *resume_after; /* id of the last event that the caller has; NULL: start at
-				     the first */
+	const char *resume_after; /* id of the last event received; NULL: none */
 };
 
-/* Returns 0, or -EINVAL if a number is malformed or the host or the request id is missing. */
+/* Returns 0, or -EINVAL if the deadline or the token counts are malformed, or the host or the
+ * id is missing. */
 int dl_read_request(const struct hp_head *h, struct dl_request *r);
 
 /* Fields that this instance adds to a request to a backend server. */
@@ -85,8 +84,7 @@
 void dl_write_report(GString *out, const struct be *at);
 struct dl_report {
 	int leaving;
-	int64_t incarnation_ms; /* start of the incarnation that answers, Unix ms; 0: not stated
-				 */
+	int64_t incarnation_ms; /* of the server that answers, Unix ms; 0: not stated */
 	GHashTable *events; /* id of a running request -> events it has produced; NULL: none */
 };
 /* A malformed report reads as an empty one. Reports are some hundred milliseconds old. */
--- a/src/internal/hs_hold.h
+++ b/src/internal/hs_hold.h
@@ -3,9 +3,9 @@
 #define SH_HS_HOLD_H
 #include "hs.h"
 
-/* Starts to enforce max, in bytes, over all callers of the listener. Beyond it, ends callers
- * that take nothing, then those with the most buffered bytes: on_end must end the connection.
- */
+/* Starts to enforce max, in bytes, over all callers of the listener. Beyond it, on_end is
+ * called for callers that take nothing, then for any, those with the most buffered bytes first;
+ * it must end the connection. */
 void hs_hold_start(struct hs_listener *l, size_t max, void (*on_end)(struct hs *h));
 /* Whether more of the answer for h's caller may be read from its server now. If not, reading
  * continues when the caller has taken what is buffered. */
--- a/src/internal/hx.h
+++ b/src/internal/hx.h
@@ -20,8 +20,8 @@
 	void *peer; /* for on_any_head */
 	void (*peer_free)(void *peer);
 	void (*on_connected)(struct hx *x); /* connected and request written; may be NULL */
-	int (*on_head)(
-		struct hx *x); /* returns 0, or a negative errno that ends the exchange */
+	/* on_head and on_body return 0, or a negative errno that ends the exchange. */
+	int (*on_head)(struct hx *x);
 	int (*on_body)(struct hx *x, const char *p, size_t n);
 	/* err 0: the answer is complete. Otherwise -ETIMEDOUT, -EPIPE (closed too early),
 	 * -EBADMSG (not HTTP), or the error of the connection or of a callback. x is freed
--- a/src/internal/quarantine_impl.h
+++ b/src/internal/quarantine_impl.h
@@ -10,8 +10,8 @@
 int64_t success_last_us(const struct fp *fp);
 
 /* quarantine_recent.c */
-/* Crashes are repeated for this long: meanwhile they count in how often servers crash without
- * the request that is judged. */
+/* Crashes are repeated while they count in the rate at which servers crash without the judged
+ * request. */
 #define RECENT_CRASH_US 30000000
 /* b crashed while these ran there. */
 void recent_note(const struct be *b, const struct quarantine_run *run, int n, int64_t at_us,
--- a/src/internal/ro.h
+++ b/src/internal/ro.h
@@ -34,8 +34,7 @@
 enum ro_result {
 	RO_OK,
 	RO_FAILED, /* the server's own failure */
-	RO_BROKEN, /* broken off or silent: a server that crashes breaks many, which count once
-		    */
+	RO_BROKEN, /* broken off or silent; many at one crashing server count once */
 };
 /* An exchange with b ended. route: any number that identifies the route; took_us as in
  * rollout_note. */
--- a/src/internal/store.h
+++ b/src/internal/store.h
@@ -1,7 +1,5 @@
 /* Asynchronous client (st_) of the platform's key-value service. Each call completes once,
- * through its callback. An adapter in platform/ implements it; tests run a service of their
- * own.
- */
+ * through its callback. An adapter in platform/ implements it. */
 #ifndef SH_STORE_H
 #define SH_STORE_H
 #include <netinet/in.h>
@@ -21,7 +19,7 @@
 	 * limit), -EAGAIN (nothing was done), or another negative errno: no usable answer, and
 	 * a change may have been made or may still be made. */
 	int rc;
-	uint64_t at; /* the service's revision; 0: the answer does not state it */
+	uint64_t revision; /* the service's revision; 0: the answer does not state it */
 	struct st_item *items;
 	size_t n;
 	int more; /* a range continues after the last item */
--- a/test/test_crash.c
+++ b/test/test_crash.c
@@ -318,8 +318,7 @@
 	return fp;
 }
 
-/* A standby instance receives verdicts too, as callers with an older list may still reach it.
- */
+/* A standby instance gets verdicts too: callers with an older list may still reach it. */
 static void an_instance_that_stands_by_is_told(void)
 {
 	struct pw_peer *p[WIDE];
@@ -486,7 +485,7 @@
 	}
 }
 
-/* The same with streams; two of twelve engines crash at once, three times. */
+/* The same with streams; two of twelve engines crash at once, four times. */
 static void streams_that_everybody_sends_are_not_blamed(void)
 {
 	struct scenario d;
--- a/test/test_pure.c
+++ b/test/test_pure.c
@@ -1,5 +1,4 @@
-/* Unit tests of routes, events, HTTP heads, and messages, lists and settings of the platform.
- */
+/* Unit tests of routes, events, HTTP heads and the data of the platform. */
 #include "be.h"
 #include "board.h"
 #include "budget.h"
@@ -186,7 +185,7 @@
 	hp_free(&p);
 }
 
-/* ---- the platform's messages, lists and settings ---- */
+/* ---- data of the platform ---- */
 
 static void a_handle_is_one_word(void)
 {
@@ -274,8 +273,7 @@
 	CU_ASSERT_EQUAL(board_apply(&i, "platform"), 1);
 }
 
-/* A peer that is sent an incomplete listing would take it as complete and never fetch the rest.
- */
+/* A peer that gets an incomplete listing would take it as complete and never fetch the rest. */
 static void a_listing_that_is_not_whole_is_not_handed_on(void)
 {
 	board_init();
