--- a/src/fleet/mesh.c
+++ b/src/fleet/mesh.c
@@ -131,7 +131,7 @@
 {
 	GString *out;
 
-	if (!cn_open(&m->link) || m->link.connecting) return;
+	if (!cn_is_open(&m->link) || m->link.connecting) return;
 	out = g_string_new(NULL);
 	mesh_write_own_beat(out, m, 1);
 	if (with_loads && m->said.serves) mesh_write_all_loads(out);
@@ -156,14 +156,14 @@
 static int keep_link(struct member *m)
 {
 	if (mesh_linked_to(m)) return 1;
-	if (cn_open(&m->link)) cn_close(&m->link);
+	if (cn_is_open(&m->link)) cn_close(&m->link);
 	return 0;
 }
 
 static void beat_to(struct member *m, int64_t now)
 {
 	if (!keep_link(m)) return;
-	if (!cn_open(&m->link)) {
+	if (!cn_is_open(&m->link)) {
 		if (now >= m->next_connect_us) mesh_connect(m);
 		return;
 	}
--- a/src/fleet/mesh_link.c
+++ b/src/fleet/mesh_link.c
@@ -97,7 +97,7 @@
 
 void mesh_send(struct member *m, const GString *frame)
 {
-	if (!cn_open(&m->link) || m->link.connecting) return;
+	if (!cn_is_open(&m->link) || m->link.connecting) return;
 	if (cn_pending(&m->link) + frame->len > LINK_MAX) {
 		met_add(MET_PEER_DROPPED, 1);
 		cn_reset(&m->link);
--- a/src/fleet/mesh_members.c
+++ b/src/fleet/mesh_members.c
@@ -142,7 +142,7 @@
 	}
 	/* It starts, perhaps again: it shall know this instance, and what is blamed, before its
 	 * next heartbeat. */
-	if (!cn_open(&m->link) && mesh_linked_to(m)) mesh_connect(m);
+	if (!cn_is_open(&m->link) && mesh_linked_to(m)) mesh_connect(m);
 	mesh_heard_echo(b->echo_us);
 	mesh_heal_orders(m);
 	mesh_heal_verdicts(m);
@@ -166,7 +166,7 @@
 	if (!m->alive || now - m->heard_us < dead_us) return;
 	set_dead(m);
 	/* It hears nothing either, where all links fell silent. */
-	if (cn_open(&m->link) && !m->link.connecting) mesh_renew_link(m, "nothing is heard");
+	if (cn_is_open(&m->link) && !m->link.connecting) mesh_renew_link(m, "nothing is heard");
 	mesh_tell_death(m);
 }
 
--- a/src/fleet/mesh_roles.c
+++ b/src/fleet/mesh_roles.c
@@ -154,7 +154,7 @@
 int mesh_linked_to(const struct member *m)
 {
 	/* All that it had a word with shall hear that it stops. */
-	if (mesh_self_draining()) return cn_open(&m->link);
+	if (mesh_self_draining()) return cn_is_open(&m->link);
 	return mesh_self_hub() || m->hub;
 }
 
--- a/src/fleet/quarantine_inflight.c
+++ b/src/fleet/quarantine_inflight.c
@@ -13,7 +13,7 @@
 	int64_t received_us;
 };
 
-static GArray *remote;   /* of struct elsewhere */
+static GArray *remote;   /* of struct remote */
 static GHashTable *sent; /* struct fp -> count that was sent last; absent: 0 */
 
 static struct remote *find_remote(const struct fp *fp, const char *from)
--- a/src/http/cn.c
+++ b/src/http/cn.c
@@ -15,7 +15,7 @@
 #define KEEPALIVE_PROBES 3   /* ... and given up after so many probes */
 #define LISTEN_BACKLOG 1024  /* connections; a full queue delays callers by seconds */
 
-int cn_open(const struct cn *c)
+int cn_is_open(const struct cn *c)
 {
 	return c->ev.fd >= 0;
 }
--- a/src/internal/cn.h
+++ b/src/internal/cn.h
@@ -13,7 +13,7 @@
 	uint64_t sent; /* bytes of out passed to the kernel so far */
 	uint32_t events;
 	int connecting, paused, got_eof;
-	void (*on_connected)(struct cn *c); /* may be NULL */
+	void (*on_connected)(struct cn *c); /* connection established; may be NULL */
 	void (*on_data)(struct cn *c, const char *p, size_t n);
 	/* The peer closed its side (err 0) or the connection failed (a negative errno). */
 	void (*on_end)(struct cn *c, int err);
@@ -35,5 +35,5 @@
 /* Both close without a callback. cn_reset drops unsent bytes and sends a reset. */
 void cn_close(struct cn *c);
 void cn_reset(struct cn *c);
-int cn_open(const struct cn *c);
+int cn_is_open(const struct cn *c);
 #endif
--- a/src/internal/dialect.h
+++ b/src/internal/dialect.h
@@ -12,7 +12,7 @@
 #include <saddlehead/rollout.h>
 #include <stdint.h>
 
-#define DL_HANDLE_MAX 127 /* characters of a memory copy's handle */
+#define DL_HANDLE_MAX 127 /* characters of a memory copy's handle; longer ones are invalid */
 
 /* Contents of the head of a caller's request. The strings point into the head. */
 struct dl_request {
