--- a/src/fleet/bx.c
+++ b/src/fleet/bx.c
@@ -37,16 +37,15 @@
 	struct dl_notice n;
 
 	if (dl_read_notice(&x->hp.head, &n)) return;
-	if (n.unread) report_unusable(t->be, n.unread);
+	if (n.invalid) report_unusable(t->be, n.invalid);
 	if (n.leaving) leave_report(t->be, "its own answer");
 	if (n.cold_us) be_set_cold(t->be, n.cold_us);
-	if (n.rest_us)
-		pace_backoff(t->be, n.rest_us);
+	if (n.backoff_us)
+		pace_backoff(t->be, n.backoff_us);
 	else if (t->after_backoff)
 		pace_succeeded_after_backoff(t->be);
 	/* An unusable number does not lift a limit. */
-	if (n.limit_per_s >= 0 || !n.names_limit)
-		limit_report(t->be, n.limit_per_s, x->began_us);
+	if (n.limit_per_s >= 0 || !n.has_limit) limit_report(t->be, n.limit_per_s, x->began_us);
 }
 
 static void target_free(void *target)
--- a/src/fleet/mesh.c
+++ b/src/fleet/mesh.c
@@ -2,7 +2,7 @@
 #include "clock.h"
 #include "mesh_impl.h"
 #include "met.h"
-#include "poison.h"
+#include "quarantine.h"
 #include "watch.h"
 
 /* Time after a suspension until this instance continues with what it has, though none has sent
@@ -108,7 +108,7 @@
 				   .store_late = self_store_late,
 				   .link_mbps = cfg->link_mbps,
 				   .serving = mesh_self_serving(),
-				   .verdicts = poison_digest(),
+				   .verdicts = quarantine_digest(),
 				   .orders = cache_orders_digest(),
 				   .backends_from = watch_backends_from(),
 				   .dc = mesh_self_dc(),
@@ -133,7 +133,7 @@
 {
 	GString *out;
 
-	if (!cn_open(&m->link) || m->link.connecting) return;
+	if (!cn_is_open(&m->link) || m->link.connecting) return;
 	out = g_string_new(NULL);
 	mesh_write_own_heartbeat(out, m, 1);
 	if (with_loads && m->hb.serving) mesh_write_all_loads(out);
@@ -159,14 +159,14 @@
 static int keep_link(struct member *m)
 {
 	if (mesh_keeps_link(m)) return 1;
-	if (cn_open(&m->link)) cn_close(&m->link);
+	if (cn_is_open(&m->link)) cn_close(&m->link);
 	return 0;
 }
 
 static void maintain_link(struct member *m, int64_t now)
 {
 	if (!keep_link(m)) return;
-	if (!cn_open(&m->link)) {
+	if (!cn_is_open(&m->link)) {
 		if (now >= m->next_connect_us) mesh_connect(m);
 		return;
 	}
--- a/src/fleet/mesh_fetch.c
+++ b/src/fleet/mesh_fetch.c
@@ -245,7 +245,7 @@
 	fetch->buf = g_string_new(NULL);
 	fetch->from = m;
 	fetch->outgoing = 1;
-	fetch->cn.on_up = on_fetch_up;
+	fetch->cn.on_connected = on_fetch_up;
 	fetch->cn.on_data = on_fetch_data;
 	fetch->cn.on_end = on_fetch_end;
 	received = 0;
--- a/src/fleet/mesh_link.c
+++ b/src/fleet/mesh_link.c
@@ -3,7 +3,7 @@
 #include "jlog.h"
 #include "mesh_impl.h"
 #include "met.h"
-#include "poison.h"
+#include "quarantine.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <stddef.h>
@@ -46,7 +46,7 @@
 	mesh_write_topics(out);
 	mesh_write_verdicts(out);
 	if (!m->last_seen_us || m->hb.serving) {
-		poison_write_told(out);
+		quarantine_write_reports(out);
 		mesh_write_all_loads(out);
 	}
 	mesh_write_own_heartbeat(out, m, 1);
@@ -62,7 +62,7 @@
 	m->next_connect_us = clock_us() + RECONNECT_US;
 	if (inet_pton(AF_INET, m->ip, &to.sin_addr) != 1) return;
 	m->link = (struct cn){
-		.on_up = on_link_up, .on_data = on_link_data, .on_end = on_link_end};
+		.on_connected = on_link_up, .on_data = on_link_data, .on_end = on_link_end};
 	cn_connect(&m->link, &to);
 }
 
@@ -98,7 +98,7 @@
 
 void mesh_send(struct member *m, const GString *frame)
 {
-	if (!cn_open(&m->link) || m->link.connecting) return;
+	if (!cn_is_open(&m->link) || m->link.connecting) return;
 	if (cn_pending(&m->link) + frame->len > LINK_MAX) {
 		met_add(MET_PEER_DROPPED, 1);
 		cn_reset(&m->link);
--- a/src/fleet/mesh_members.c
+++ b/src/fleet/mesh_members.c
@@ -2,7 +2,7 @@
 #include "clock.h"
 #include "jlog.h"
 #include "mesh_impl.h"
-#include "poison.h"
+#include "quarantine.h"
 #include <arpa/inet.h>
 #include <string.h>
 
@@ -111,7 +111,7 @@
 	GString *out = g_string_new(NULL);
 
 	mesh_write_topics(out);
-	poison_write_told(out);
+	quarantine_write_reports(out);
 	mesh_write_all_loads(out);
 	mesh_send(m, out);
 	g_string_free(out, TRUE);
@@ -143,7 +143,7 @@
 	}
 	/* m started or restarted: it gets this instance's state and the verdicts before its
 	 * next heartbeat. */
-	if (!cn_open(&m->link) && mesh_keeps_link(m)) mesh_connect(m);
+	if (!cn_is_open(&m->link) && mesh_keeps_link(m)) mesh_connect(m);
 	mesh_echo_received(b->echo_us);
 	mesh_sync_orders(m);
 	mesh_sync_verdicts(m);
@@ -167,7 +167,7 @@
 	if (!m->alive || now - m->last_seen_us < dead_us) return;
 	set_dead(m);
 	/* If all links went silent, m receives nothing either. */
-	if (cn_open(&m->link) && !m->link.connecting) mesh_renew_link(m, "nothing is heard");
+	if (cn_is_open(&m->link) && !m->link.connecting) mesh_renew_link(m, "nothing is heard");
 	mesh_announce_death(m);
 }
 
--- a/src/fleet/mesh_roles.c
+++ b/src/fleet/mesh_roles.c
@@ -156,7 +156,7 @@
 int mesh_keeps_link(const struct member *m)
 {
 	/* All instances that it is connected to are informed that it stops. */
-	if (mesh_self_draining()) return cn_open(&m->link);
+	if (mesh_self_draining()) return cn_is_open(&m->link);
 	return mesh_self_hub() || m->hub;
 }
 
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -61,9 +61,11 @@
 static void apply_check(struct be *b, const struct hp_head *head)
 {
 	switch (dl_read_check(head, b->id)) {
-	case DL_STRANGER: leave_report(b, "another incarnation answers at its address"); return;
+	case DL_OTHER_INCARNATION:
+		leave_report(b, "another incarnation answers at its address");
+		return;
 	case DL_FAILING: leave_report_suspect(b, "its health check"); return;
-	case DL_SOUND:
+	case DL_HEALTHY:
 	case DL_UNKNOWN: return;
 	}
 }
@@ -73,7 +75,7 @@
 	struct dl_report r;
 
 	dl_read_report(body->str, body->len, &r);
-	if (!be_is_incarnation(b, r.born_ms) && r.born_ms > b->incarnation_ms)
+	if (!be_is_incarnation(b, r.incarnation_ms) && r.incarnation_ms > b->incarnation_ms)
 		be_end_incarnation(b, "its own report");
 	else if (r.leaving)
 		leave_report(b, "its own report");
--- a/src/fleet/watch.c
+++ b/src/fleet/watch.c
@@ -92,7 +92,7 @@
 	if (!r->n) return;
 	apply_all(r, 0);
 	for (i = 0; i < r->n; i++) upto = MAX(upto, r->items[i].revision);
-	if (w->list.of == DL_BACKEND) cache_set_complete(upto);
+	if (w->list.kind == DL_BACKEND) cache_set_complete(upto);
 	mesh_publish(base);
 }
 
@@ -100,7 +100,7 @@
 {
 	struct cache_revs revs = cache_revs();
 
-	return w->list.of == DL_CONF ? revs.conf : revs.backends;
+	return w->list.kind == DL_CONF ? revs.conf : revs.backends;
 }
 
 static void log_list(const struct watcher *w, const char *event)
@@ -130,7 +130,7 @@
 
 static int may_await_peers(const struct watcher *w)
 {
-	if (w->awaiting_since_us || w->list.of != DL_BACKEND || w->base.backends) return 0;
+	if (w->awaiting_since_us || w->list.kind != DL_BACKEND || w->base.backends) return 0;
 	return mesh_most_members() > 1 && peers_have_or_list();
 }
 
@@ -150,7 +150,7 @@
 	if (!g_hash_table_size(w->listed)) {
 		w->base = cache_revs();
 		/* Pages are no snapshot: changes since the first page are watched for. */
-		w->at = r->at;
+		w->at = r->revision;
 	}
 	apply_all(r, r->sent_us);
 	for (i = 0; i < r->n; i++) g_hash_table_add(w->listed, g_strdup(r->items[i].key));
@@ -165,7 +165,7 @@
 		return;
 	}
 	g_ptr_array_unref(cache_apply_missing(w->list.prefix, w->listed, w->at));
-	if (w->list.of == DL_BACKEND) cache_set_complete(w->at);
+	if (w->list.kind == DL_BACKEND) cache_set_complete(w->at);
 	g_hash_table_remove_all(w->listed);
 	log_list(w, "list_read");
 	w->phase = WATCHING;
@@ -202,7 +202,7 @@
 	w->retry_us = 0;
 	w->caught_up = 1;
 	apply_changes(w, r);
-	if (r->at > w->at) w->at = r->at;
+	if (r->revision > w->at) w->at = r->revision;
 	if (r->n)
 		ev_in(&w->retry, g_random_int_range(PAUSE_MIN_US, PAUSE_MAX_US));
 	else
@@ -255,7 +255,7 @@
 {
 	if (watch_store_up() || retries_at_once(w) || clock_us() >= w->backoff_until_us)
 		return 1;
-	return mesh_probes_store() && !cache_conf() && w->list.of == DL_CONF;
+	return mesh_probes_store() && !cache_conf() && w->list.kind == DL_CONF;
 }
 
 static void watch(struct watcher *w, int64_t wait_ms)
@@ -308,7 +308,7 @@
 	int i;
 
 	for (i = 0; i < nwatchers; i++)
-		if (watchers[i].list.of == DL_CONF && watchers[i].call &&
+		if (watchers[i].list.kind == DL_CONF && watchers[i].call &&
 		    st_received(watchers[i].call))
 			return 1;
 	return 0;
@@ -327,7 +327,7 @@
 	int i;
 
 	for (i = 0; i < nwatchers; i++)
-		if (watchers[i].list.of == DL_BACKEND) return &watchers[i];
+		if (watchers[i].list.kind == DL_BACKEND) return &watchers[i];
 	return NULL;
 }
 
@@ -345,7 +345,7 @@
 	}
 	if (r->rc) return;
 	apply_changes(w, r);
-	w->at = MAX(w->at, r->at);
+	w->at = MAX(w->at, r->revision);
 }
 
 void watch_poll(void)
@@ -370,7 +370,7 @@
 	for (i = 0; after && i < nwatchers; i++) {
 		struct watcher *w = &watchers[i];
 
-		if (w->list.of == kind && w->at >= after) w->at = MAX(w->at, upto);
+		if (w->list.kind == kind && w->at >= after) w->at = MAX(w->at, upto);
 	}
 }
 
--- a/src/fleet/watch_check.c
+++ b/src/fleet/watch_check.c
@@ -25,7 +25,7 @@
 /* Orders are few, and are sent to peers when they are applied. */
 static int lists_orders(const struct checker *c)
 {
-	return c->list.of == DL_DRAIN || c->list.of == DL_ROLLOUT;
+	return c->list.kind == DL_DRAIN || c->list.kind == DL_ROLLOUT;
 }
 
 static void on_page(const struct st_reply *r, void *user);
@@ -82,8 +82,8 @@
 		if (cache_apply(&r->items[i], cache_platform) && !lists_orders(c))
 			mesh_publish_items(&r->items[i], 1);
 	if (is_in_order(c, r)) {
-		missing = cache_apply_missing_page(&page, listed, r->at);
-		if (!lists_orders(c)) send_missing(missing, r->at);
+		missing = cache_apply_missing_page(&page, listed, r->revision);
+		if (!lists_orders(c)) send_missing(missing, r->revision);
 		g_ptr_array_unref(missing);
 	}
 	g_hash_table_destroy(listed);
@@ -108,7 +108,7 @@
 	for (i = 0; i < ncheckers; i++) {
 		struct checker *c = &checkers[i];
 
-		if (c->list.of == DL_CONF || c->call) continue;
+		if (c->list.kind == DL_CONF || c->call) continue;
 		if (c->after[0]) watch_poll();
 		c->pages = PAGES_PER_TURN;
 		request_page(c);
--- a/src/internal/mesh_quarantine.h
+++ b/src/internal/mesh_quarantine.h
@@ -1,10 +1,10 @@
 /* Frames about requests under which servers crash. */
 #ifndef SH_MESH_QUARANTINE_H
 #define SH_MESH_QUARANTINE_H
-#include "poison.h"
+#include "quarantine.h"
 
 /* A server crashed while these requests ran there. Sent to serving instances. */
-void mesh_send_crash(const struct poison_told_end *e, const struct poison_run *run);
+void mesh_send_crash(const struct quarantine_crash *e, const struct quarantine_run *run);
 /* A run of the request succeeded. Sent to serving instances. */
 void mesh_send_succeeded(const struct fp *fp, int64_t ago_us);
 /* Number of runs of the request that have not answered yet at this instance. Sent to serving
@@ -15,8 +15,8 @@
 void mesh_send_verdict(const struct quar_suspect *s);
 const char *mesh_self_name(void);
 /* Append the same frames to out. */
-void mesh_write_crash(GString *out, const struct poison_told_end *e,
-		      const struct poison_run *run);
+void mesh_write_crash(GString *out, const struct quarantine_crash *e,
+		      const struct quarantine_run *run);
 void mesh_write_succeeded(GString *out, const struct fp *fp, int64_t ago_us);
 void mesh_write_in_flight(GString *out, const struct fp *fp, uint32_t n);
 #endif
--- a/src/internal/rq_impl.h
+++ b/src/internal/rq_impl.h
@@ -284,7 +284,7 @@
 /* Records whether its server is cold at the time of sending. */
 void att_note_cold(struct attempt *att);
 /* Reports the outcome of its exchange as evidence about its server's version. */
-void att_report_outcome(const struct attempt *att, enum ro_end how);
+void att_report_outcome(const struct attempt *att, enum ro_result how);
 
 /* rq_quarantine.c */
 /* Its exchange broke off with this error: its server may have crashed. */
--- a/src/relay/rq_answer.c
+++ b/src/relay/rq_answer.c
@@ -52,7 +52,7 @@
 		met_add(MET_ANSWERS_DROPPED, 1);
 		return -EBADMSG;
 	}
-	if (success(x) && !a.sound) return -EBADMSG;
+	if (success(x) && !a.intact) return -EBADMSG;
 	if (promises_not_run(x->hp.head.status)) return -EPROTO;
 	att->answered = 1;
 	if (att == r->next) {
@@ -84,7 +84,7 @@
 
 	if (r->head_sent) return;
 	out = g_string_new(NULL);
-	dl_write_head(out, head, -1, hs_keeps(r->h));
+	dl_write_head(out, head, -1, hs_keeps_alive(r->h));
 	hs_write(r->h, out->str, out->len);
 	g_string_free(out, TRUE);
 	r->head_sent = 1;
@@ -141,7 +141,7 @@
 		att_recount(att);
 		be_succeeded(att->be, 0);
 		/* Not at its end, which may come too late for a judgement. */
-		att_report_outcome(att, RO_WELL);
+		att_report_outcome(att, RO_OK);
 		if (be_is_leaving(r->attempt->be)) move_begin(r);
 	}
 	move_continue(r);
--- a/src/relay/rq_begin.c
+++ b/src/relay/rq_begin.c
@@ -1,6 +1,6 @@
 /* Admission of a new request: checks it against the configuration and prepares it. */
 #include "clock.h"
-#include "poison.h"
+#include "quarantine.h"
 #include "rq_impl.h"
 #include <errno.h>
 
@@ -131,7 +131,7 @@
 
 static void on_held_timer(struct ev_timer *t)
 {
-	if (!poison_known()) {
+	if (!quarantine_ready()) {
 		ev_in(t, HELD_POLL_US);
 		return;
 	}
@@ -166,7 +166,7 @@
 	struct rq *r = rq_new(h);
 
 	if (check_request(r)) return;
-	if (poison_known())
+	if (quarantine_ready())
 		admit(r);
 	else
 		hold(r);
--- a/src/relay/rq_end.c
+++ b/src/relay/rq_end.c
@@ -73,7 +73,7 @@
 	 * failure, healthy engines would get no work. */
 	if (!move_stops_source(r)) {
 		att_note_broken(att, err);
-		att_report_outcome(att, RO_BROKE);
+		att_report_outcome(att, RO_BROKEN);
 		be_failed(att->be, "broke off");
 	}
 	log_broken(att, "may_have_run", err);
@@ -93,7 +93,7 @@
 	struct rq *r = att->rq;
 
 	rq_note_completed_run(r);
-	att_report_outcome(att, head->status < 500 ? RO_WELL : RO_BADLY);
+	att_report_outcome(att, head->status < 500 ? RO_OK : RO_FAILED);
 	if (head->status < 500) {
 		be_succeeded(att->be, clock_us() - att->sent_us);
 		rq_answer(r, head);
@@ -118,7 +118,7 @@
 
 void att_server_gone(struct attempt *att)
 {
-	int up = att->hx->up;
+	int up = att->hx->connected;
 
 	hx_cancel(att->hx);
 	att->hx = NULL;
@@ -136,7 +136,7 @@
 
 	att->hx = NULL;
 	if (att == att->rq->next) {
-		copy_refused(att, err, x->up);
+		copy_refused(att, err, x->connected);
 		return;
 	}
 	if (!err && att_is_stream(att, x)) {
@@ -147,7 +147,7 @@
 		answer_done(att, &x->hp.head);
 	else if (att->not_run)
 		turned_away(att);
-	else if (!x->up)
+	else if (!x->connected)
 		not_reached(att, err);
 	else
 		broken_off(att, err);
--- a/src/relay/rq_pick.c
+++ b/src/relay/rq_pick.c
@@ -42,7 +42,7 @@
 {
 	int64_t in_us = be_usable_in(b, now), wait_us;
 
-	if (in_us == INT64_MAX || !ro_is(b, r->rollout_parts) || !rq_region_allowed(r, b))
+	if (in_us == INT64_MAX || !ro_matches(b, r->rollout_parts) || !rq_region_allowed(r, b))
 		return INT64_MAX;
 	wait_us = pace_wait_us(b, r->service, now);
 	return MAX(in_us, wait_us);
@@ -97,7 +97,7 @@
 {
 	if (b == c->except) return 0;
 	if (c->last_resort)
-		return be_last_resort(b, c->now) && ro_is(b, c->r->rollout_parts) &&
+		return be_last_resort(b, c->now) && ro_matches(b, c->r->rollout_parts) &&
 		       rq_region_allowed(c->r, b) && !pace_wait_us(b, c->r->service, c->now);
 	if (!s->usable) c->passed_over[pace_why(b, c->r->service, c->now)] = 1;
 	return s->usable;
@@ -184,10 +184,10 @@
 
 struct be *rq_pick(struct rq *r, const struct be *except)
 {
-	uint32_t others = ro_parts_else(r->service->name);
+	uint32_t others = ro_allowed_fallback(r->service->name);
 	struct be *b;
 
-	r->rollout_parts = ro_parts(r->service->name, !r->sends);
+	r->rollout_parts = ro_allowed(r->service->name, !r->sends);
 	b = pick(r, except);
 	if (r->rollout_parts == others || can_start_now(r, b)) return b;
 	r->rollout_parts = others;
@@ -207,7 +207,7 @@
 	struct choice *c;
 	int i;
 
-	r->rollout_parts = ro_parts(r->service->name, 0);
+	r->rollout_parts = ro_allowed(r->service->name, 0);
 	c = collect(r, &now, source->zone, source);
 	for (i = 0; i < c->n; i++)
 		if (!can_take_move(c->at[i])) c->s[i].usable = 0;
@@ -224,7 +224,7 @@
 	int i;
 
 	if (r->route->resumable || r->route->kind != CONF_STREAM) return NULL;
-	r->rollout_parts = ro_parts(r->service->name, 0);
+	r->rollout_parts = ro_allowed(r->service->name, 0);
 	c = collect(r, &now, att->be->zone, att->be);
 	for (i = 0; i < c->n; i++)
 		if (c->at[i]->refused) c->s[i].usable = 0;
--- a/src/relay/rq_quarantine.c
+++ b/src/relay/rq_quarantine.c
@@ -2,7 +2,7 @@
  * tried again. */
 #include "clock.h"
 #include "met.h"
-#include "poison.h"
+#include "quarantine.h"
 #include "rq_impl.h"
 #include <errno.h>
 #include <stddef.h>
@@ -50,8 +50,9 @@
 		(struct crash_check *)((char *)t - offsetof(struct crash_check, timer));
 
 	if (ck->crashed)
-		poison_ended(ck->be, (const struct poison_run *)(void *)ck->runs->data,
-			     (int)ck->runs->len, ck->at_us);
+		quarantine_note_crash(ck->be,
+				      (const struct quarantine_run *)(void *)ck->runs->data,
+				      (int)ck->runs->len, ck->at_us);
 	g_ptr_array_remove_fast(checks, ck);
 	cn_reset(&ck->probe);
 	be_unref(ck->be);
@@ -89,11 +90,11 @@
 	struct crash_check *ck = g_new0(struct crash_check, 1);
 
 	ck->be = be_ref(b);
-	ck->runs = g_array_new(FALSE, FALSE, sizeof(struct poison_run));
+	ck->runs = g_array_new(FALSE, FALSE, sizeof(struct quarantine_run));
 	ck->at_us = clock_us();
 	ck->timer.fire = on_check_done;
 	ck->probe = (struct cn){
-		.on_up = on_probe_up, .on_data = on_probe_data, .on_end = on_probe_end};
+		.on_connected = on_probe_up, .on_data = on_probe_data, .on_end = on_probe_end};
 	if (!checks) checks = g_ptr_array_new();
 	g_ptr_array_add(checks, ck);
 	ev_in(&ck->timer, CHECK_TIMEOUT_US);
@@ -110,7 +111,8 @@
 
 void att_note_broken(const struct attempt *att, int err)
 {
-	struct poison_run run = {.fp = *rq_fp(att->rq), .ran_us = clock_us() - att->sent_us};
+	struct quarantine_run run = {.fp = *rq_fp(att->rq),
+				     .ran_us = clock_us() - att->sent_us};
 	struct crash_check *ck = find_check(att->be);
 
 	if (!ck && !may_have_crashed(att->be, err)) return;
@@ -155,7 +157,8 @@
 		const struct crash_check *ck = g_ptr_array_index(checks, i);
 
 		for (k = 0; k < ck->runs->len; k++)
-			n += fp_equal(&g_array_index(ck->runs, struct poison_run, k).fp, fp);
+			n += fp_equal(&g_array_index(ck->runs, struct quarantine_run, k).fp,
+				      fp);
 	}
 	return n;
 }
@@ -199,16 +202,16 @@
 
 void rq_note_completed_run(struct rq *r)
 {
-	poison_came_through(rq_fp(r));
+	quarantine_note_success(rq_fp(r));
 }
 
 int rq_check_quarantine(struct rq *r)
 {
 	const struct fp *fp;
 
-	if (!poison_any()) return 0;
+	if (!quarantine_has_suspects()) return 0;
 	fp = rq_fp(r);
-	switch (poison_ask(fp, count_unanswered(fp, r))) {
+	switch (quarantine_check(fp, count_unanswered(fp, r))) {
 	case QUAR_ALLOW: return 0;
 	case QUAR_TRIAL: r->on_trial = 1; return 0;
 	case QUAR_REFUSE: rq_refuse_quarantined(r); return 1;
@@ -221,7 +224,7 @@
 
 void rq_quarantine_start(int first_start)
 {
-	static const struct poison_hooks hooks = {on_quarantined, count_runs};
+	static const struct quarantine_hooks hooks = {on_quarantined, count_runs};
 
-	poison_start(first_start, &hooks);
+	quarantine_start(first_start, &hooks);
 }
--- a/src/relay/rq_rollout.c
+++ b/src/relay/rq_rollout.c
@@ -18,7 +18,7 @@
 			att->be->cold_until_us > clock_us();
 }
 
-void att_report_outcome(const struct attempt *att, enum ro_end how)
+void att_report_outcome(const struct attempt *att, enum ro_result how)
 {
-	ro_ended(att->be, g_str_hash(att->rq->route->name), how, took_us(att));
+	ro_note_result(att->be, g_str_hash(att->rq->route->name), how, took_us(att));
 }
--- a/src/relay/rq_send.c
+++ b/src/relay/rq_send.c
@@ -43,7 +43,7 @@
 		.group = r->group ? r->group->name : NULL,
 		.deadline_us = r->end_us - clock_us(),
 		.priority = copy ? 0 : engine_priority(r),
-		.backup_at = att->replica ? att->replica->address : NULL,
+		.replica_at = att->replica ? att->replica->address : NULL,
 		.copy_at = copy_at,
 		.copy = copy,
 		.resume_after = r->seen.id[0] ? r->seen.id : NULL,
@@ -94,10 +94,10 @@
 	evs_init(&att->evs);
 	r->sends++;
 	att_note_cold(att);
-	ro_sent(b, r->sends == 1);
+	ro_note_sent(b, r->sends == 1);
 	log_sent(att, copy);
 	att->hx = hx_new(att);
-	att->hx->on_up = att_on_up;
+	att->hx->on_connected = att_on_up;
 	att->hx->on_head = att_on_head;
 	att->hx->on_body = att_on_body;
 	att->hx->on_end = att_on_end;
--- a/src/relay/rq_time.c
+++ b/src/relay/rq_time.c
@@ -36,7 +36,7 @@
 		return;
 	}
 	if (is_server_failure(r)) {
-		att_report_outcome(r->attempt, RO_BADLY);
+		att_report_outcome(r->attempt, RO_FAILED);
 		be_failed(r->attempt->be, "no answer in time");
 	}
 	rq_fail(r, REF_DEADLINE, "the time ran out");
@@ -100,11 +100,11 @@
 
 	if (r->runs + 1 >= r->route->attempts || !rq_may_retry(r)) return 0;
 	if (failed) {
-		att_report_outcome(att, RO_BADLY);
+		att_report_outcome(att, RO_FAILED);
 		be_failed(att->be, "silent");
 	}
 	met_retried(att->answered ? RETRY_RESUME : RETRY_FIRST_BYTE);
-	if (att->hx->up)
+	if (att->hx->connected)
 		r->runs++;
 	else
 		r->unreached_count++;
