--- a/src/internal/call.h
+++ b/src/internal/call.h
@@ -1,4 +1,4 @@
-/* Plain calls: POST /v1/call/SERVICE/... */
+/* Plain calls: POST /v1/call/SERVICE/...; and /v1/where, in where.c. */
 #ifndef SH_CALL_H
 #define SH_CALL_H
 #include <civetweb.h>
--- a/src/internal/gen.h
+++ b/src/internal/gen.h
@@ -1,4 +1,5 @@
-/* One generation on its way through this instance. Its fields belong to its own thread. */
+/* A completion request while this instance serves it. Only the request's own thread accesses
+ * its fields. */
 #ifndef SH_GEN_H
 #define SH_GEN_H
 #include "eng.h"
@@ -8,7 +9,7 @@
 #include "view.h"
 #include <json-c/json.h>
 
-enum gen_state { GEN_WAITING, GEN_RUNNING, GEN_OVER };
+enum gen_state { GEN_WAITING, GEN_RUNNING, GEN_DONE };
 
 struct gen {
 	struct mg_connection *conn;
@@ -17,49 +18,62 @@
 	const struct tbl_group *group;
 	const struct tbl_service *service;
 	struct met_group *met;
-	json_object *body; /* what the caller sent */
+	json_object *body; /* the request body, parsed */
 	int chat, stream;
 	uint32_t prompt_tokens;
-	uint32_t resume_at; /* offset of the first token wanted */
+	uint32_t resume_offset; /* of the first token to send */
 
 	enum gen_state state;
 	struct req *req;
-	char id[ENG_GEN_MAX + 1]; /* the generation's */
+	char id[ENG_GEN_MAX + 1]; /* of the generation; empty before it starts */
 	char engine[64];
 	uint64_t engine_id;
-	uint64_t keeper; /* who holds the ticket; 0: nobody */
+	uint64_t keeper; /* the member that holds the ticket; 0: none */
 	uint32_t attempt, retries;
-	int resuming; /* the exchange that runs goes on with an earlier one's generation */
+	int resuming; /* the current exchange continues an earlier one's generation */
 	struct mux_xfer *xfer;
 
-	struct sink *sink; /* the request's: its fields are read under its lock */
-	GString *text;     /* of an answer that is not streamed */
-	char finish[32];
-	int64_t arrived_us, deadline_us, asked_us, checked_us;
+	struct sink *sink; /* owned by req; its fields are accessed under the lock of req */
+	GString *text;     /* generated text when the answer is not streamed */
+	char finish_reason[32];
+	int64_t arrived_us, deadline_us, ticket_sent_us, caller_checked_us;
 };
 
-/* gen_read.c: from the HTTP request; 0, or the status already sent. */
-int gen_read(struct gen *g, struct mg_connection *c, int chat);
+/* gen_read.c: parses and checks the HTTP request. Nonzero: a refusal has been sent. */
+int gen_read_request(struct gen *g, struct mg_connection *c, int chat);
+/* The body to send to the engine; free with g_free. */
 char *gen_engine_body(struct gen *g);
 
-/* gen_ticket.c: towards the keeper. */
-int gen_ask(struct gen *g, uint64_t avoid);
+/* gen_ticket.c: messages to the keeper. */
+/* Sends the ticket to a keeper, or again to the one that holds it; -1 when there is no keeper.
+ * A keeper other than avoid (0: none) is preferred. */
+int gen_send_ticket(struct gen *g, uint64_t avoid);
+/* Announces a running generation to the keeper of its engine, unless that keeper has it. */
 void gen_adopt(struct gen *g);
+/* Withdraws a waiting ticket, or reports the end of a running one. */
 void gen_release(struct gen *g);
-/* The same, telling that the engine failed. */
+/* Reports the end of a running ticket and that the engine failed. */
 void gen_release_failed(struct gen *g);
-void gen_recheck(struct gen *g);
+/* After a change of members or engines: moves the ticket to another keeper where needed. */
+void gen_check_keeper(struct gen *g);
 
-/* gen_reader.c: towards the reader. Those that return int: -1 when the reader has left. */
-void gen_sink(struct gen *g);
-void gen_attach(struct gen *g, uint32_t attempt);
-void gen_detach(struct gen *g);
-uint32_t gen_next(struct gen *g);
-void gen_token(struct gen *g, const struct req_msg *m);
+/* gen_reader.c: output to the reader. Functions that return int return -1 when the reader has
+ * left. */
+void gen_create_sink(struct gen *g);
+/* Makes the sink accept the tokens of this attempt, and of no other. */
+void gen_attach_sink(struct gen *g, uint32_t attempt);
+/* Makes the sink reject all tokens. */
+void gen_detach_sink(struct gen *g);
+/* Offset of the next token expected from the engine. */
+uint32_t gen_next_offset(struct gen *g);
+void gen_add_token(struct gen *g, const struct req_msg *m);
+/* Writes all pending output, waiting for the reader as needed. */
 int gen_flush(struct gen *g);
+/* Ends the stream, or sends the answer that is not streamed. */
 int gen_finish(struct gen *g);
-void gen_give_up(struct gen *g, const struct http_error *e);
+/* Ends the request with an error: an HTTP answer, or an event when the stream has begun. */
+void gen_fail(struct gen *g, const struct http_error *e);
 
-/* gen.c */
+/* gen.c: handles a completion request. */
 int gen_serve(struct mg_connection *c, int chat);
 #endif
--- a/src/internal/req.h
+++ b/src/internal/req.h
@@ -1,4 +1,4 @@
-/* Requests held by this instance, and the messages that reach each one's thread. */
+/* Requests open at this instance, and the message queue of each request's thread. */
 #ifndef SH_REQ_H
 #define SH_REQ_H
 #include "err.h"
@@ -8,20 +8,20 @@
 #include <stdint.h>
 
 enum req_msg_type {
-	REQ_GRANT,   /* a keeper: run there */
-	REQ_REFUSE,  /* a keeper: not run */
-	REQ_TOKEN,   /* an engine: one event, the data line in data */
-	REQ_END,     /* an engine: the generation is whole; a service: its answer in data */
-	REQ_FAIL,    /* an exchange broke */
-	REQ_RECHECK, /* members or engines changed: is the keeper still the right one? */
-	REQ_READER,  /* the reader is slow, or has left */
-	REQ_CLAIMED, /* a claim's home: the outcome, its answer in data */
+	REQ_GRANT,  /* from a keeper: run at this engine */
+	REQ_REFUSE, /* from a keeper: refused before it ran */
+	REQ_TOKEN,  /* from an engine: one event, its data line in data */
+	REQ_END,    /* the generation is complete, or a service answered: its answer in data */
+	REQ_FAIL,   /* an exchange failed */
+	REQ_VIEW_CHANGED,   /* members or engines changed: the keeper may have to change */
+	REQ_READER_BLOCKED, /* a write to the reader would block or failed */
+	REQ_CLAIM_REPLY,    /* from a claim's home: the result, the recorded answer in data */
 };
 
 struct req_msg {
 	struct req_msg *next;
 	enum req_msg_type type;
-	uint32_t attempt; /* of the exchange it belongs to; others are dropped */
+	uint32_t attempt; /* of the exchange that sent it; others are dropped */
 	union {
 		struct {
 			uint64_t keeper, engine;
@@ -57,44 +57,50 @@
 
 struct req;
 
-/* Registers a request; NULL when limit are open already. */
+/* Registers a request; NULL when limit requests are open. */
 struct req *req_new(uint32_t limit);
 uint64_t req_handle(const struct req *r);
 void req_ref(struct req *r);
 void req_unref(struct req *r);
-/* Out of the table: later messages to its handle are dropped. Also drops the reference. */
+/* Removes the request from the table and drops the reference; messages that arrive later for
+ * its handle are dropped. */
 void req_close(struct req *r);
 
 struct req_msg *req_msg_new(enum req_msg_type type, uint32_t attempt, const char *data,
 			    uint32_t len);
+/* Appends a message, which the queue then owns. */
 void req_post(struct req *r, struct req_msg *m);
-/* By handle: -ENOENT, with the message freed, when that request is gone. */
+/* The same by handle; frees the message and returns -ENOENT when the request is closed. */
 int req_post_to(uint64_t handle, struct req_msg *m);
-/* The keeper that holds the request's ticket, as its thread last set it; 0: none. */
+/* Records the keeper that holds the request's ticket; 0: none. */
 void req_set_keeper(struct req *r, uint64_t keeper);
-/* Whether the request is open and its ticket is with that keeper. */
-int req_kept_by(uint64_t handle, uint64_t keeper);
-/* To every open request. */
-void req_post_all(enum req_msg_type type);
+/* Whether the request is open and that keeper holds its ticket. */
+int req_has_keeper(uint64_t handle, uint64_t keeper);
+/* Posts a message without data to every open request. */
+void req_broadcast(enum req_msg_type type);
 
-/* All that has come, oldest first; NULL when deadline_us (monotonic) passed before. */
+/* Takes all queued messages, oldest first, waiting for one until deadline_us (monotonic). NULL
+ * when there is none by then. */
 struct req_msg *req_wait(struct req *r, int64_t deadline_us);
 
-/* Gives the request its sink, freed with it. With a socket, the tokens of the sink's attempt go
- * straight to the reader; else they gather as messages, for which the request's thread is
- * woken at each, or only now and then. */
+/* Sets the request's sink, which is freed with the request. With a socket, the tokens of the
+ * sink's attempt are written directly to the reader. Without one they are queued as messages,
+ * and the request's thread is woken at each token, or with each 0 for batches of them. */
 void req_set_sink(struct req *r, struct sink *s, int each);
-/* The sink's fields are the caller's between these two. */
+/* The caller may access the sink between these two calls. */
 struct sink *req_lock_sink(struct req *r);
 void req_unlock_sink(struct req *r);
 
-/* A token from the engine links' thread, and after the last one that came together.
- * Returns 1 when so much waits that the exchange should pause. */
-int req_token(struct req *r, uint32_t attempt, uint32_t offset, const char *data, uint32_t len);
-void req_tokens_end(struct req *r, uint32_t attempt);
+/* Adds a token; called by the thread of the engine links. Returns 1 when so much is queued that
+ * the exchange should pause. */
+int req_add_token(struct req *r, uint32_t attempt, uint32_t offset, const char *data,
+		  uint32_t len);
+/* Writes the tokens of one read to the reader's socket; called after the last of them. */
+void req_flush_tokens(struct req *r, uint32_t attempt);
 
-/* Remembers the paused exchange; req_wait resumes it once its tokens are taken. */
-void req_paused(struct req *r, struct mux *m, struct mux_xfer *x);
+/* Records the paused exchange; req_wait resumes it when its tokens have been consumed. */
+void req_set_paused(struct req *r, struct mux *m, struct mux_xfer *x);
 
+/* Number of open requests. */
 uint32_t req_count(void);
 #endif
--- a/src/internal/shares.h
+++ b/src/internal/shares.h
@@ -1,5 +1,5 @@
-/* Both sides of shares in an instance: what its keeper holds, and what it hands out as a home.
- * Belongs to the keeper's thread. */
+/* Shares of running ceilings, both sides: those held by this instance's keeper, and those
+ * granted by this instance as the home of a group. Used by the keeper's thread alone. */
 #ifndef SH_SHARES_H
 #define SH_SHARES_H
 #include "tbl.h"
@@ -7,18 +7,20 @@
 
 void shares_init(void);
 void shares_free(void);
-/* The ceilings of a new table; what is held goes on. */
-void shares_table(const struct tbl *t);
-/* Members changed: homes may have moved, so every holder asks at once. */
-void shares_members(int64_t now_us);
-/* Of how many keepers the fixed part is one. */
-void shares_keepers(uint32_t n);
+/* Sets the ceilings of a new table; shares that are held remain. */
+void shares_set_table(const struct tbl *t);
+/* After a change of members the homes may have moved: every share is requested at the next
+ * tick. */
+void shares_members_changed(int64_t now_us);
+/* Sets the number of keepers by which a ceiling is divided into fixed parts. */
+void shares_set_keepers(uint32_t n);
 
-/* How many requests of the group may run at this keeper's engines now. */
+/* Number of requests of the group that may run at this keeper's engines now. */
 uint32_t shares_limit(uint64_t group, int64_t now_us);
-/* Asks for what is due, and tells the core of shares that lapsed. */
+/* Requests the shares that are due, and updates limits in the core, as after a share lapsed. */
 void shares_tick(struct core *c, int64_t now_us);
-void shares_ask_soon(struct core *c, uint64_t group, int64_t now_us);
-/* Messages from the other side. */
-void shares_take(struct core *c, const struct wire_msg *m, uint64_t from, int64_t now_us);
+/* Requests the group's share if it is due. */
+void shares_request_if_due(struct core *c, uint64_t group, int64_t now_us);
+/* Handles WIRE_SHARE_ASK (as home) and WIRE_SHARE (as holder). */
+void shares_receive(struct core *c, const struct wire_msg *m, uint64_t from, int64_t now_us);
 #endif
--- a/src/link/eng_generate.c
+++ b/src/link/eng_generate.c
@@ -60,7 +60,8 @@
 		return -1;
 	}
 	g->next++;
-	g->full |= req_token(g->req, g->attempt, offset, s->data->str, (uint32_t)s->data->len);
+	g->full |=
+		req_add_token(g->req, g->attempt, offset, s->data->str, (uint32_t)s->data->len);
 	return 0;
 }
 
@@ -89,7 +90,7 @@
 	if (sse_feed(&g->sse, p, n, on_event, g)) return -1;
 	if (g->full) {
 		g->full = 0;
-		req_paused(g->req, g->mux, x);
+		req_set_paused(g->req, g->mux, x);
 		mux_pause(x);
 	}
 	return 0;
@@ -99,7 +100,7 @@
 {
 	struct gen *g = x->user;
 
-	req_tokens_end(g->req, g->attempt);
+	req_flush_tokens(g->req, g->attempt);
 }
 
 static void on_done(struct mux_xfer *x, CURLcode rc, long status)
--- a/src/link/wire_decode.c
+++ b/src/link/wire_decode.c
@@ -150,7 +150,7 @@
 	op->type = (enum claim_op_type)type;
 	str(c, op->key, sizeof op->key - 1);
 	str(c, op->attempt, sizeof op->attempt - 1);
-	str(c, op->content, sizeof op->content - 1);
+	str(c, op->content_type, sizeof op->content_type - 1);
 	op->body_hash = u64(c);
 	op->ttl_ms = i64(c);
 	op->status = (int)u32(c);
@@ -161,7 +161,7 @@
 {
 	m->u.claimed.request = u64(c);
 	m->u.claimed.result = u32(c);
-	if (m->u.claimed.result > CLAIM_DOWN) c->bad = 1;
+	if (m->u.claimed.result > CLAIM_UNAVAILABLE) c->bad = 1;
 	m->u.claimed.status = u32(c);
 	str(c, m->u.claimed.content, sizeof m->u.claimed.content - 1);
 	m->u.claimed.answer = bin(c, &m->u.claimed.answer_len);
--- a/src/link/wire_encode.c
+++ b/src/link/wire_encode.c
@@ -105,7 +105,7 @@
 	u64(p, op->type);
 	str(p, op->key);
 	str(p, op->attempt);
-	str(p, op->content);
+	str(p, op->content_type);
 	u64(p, op->body_hash);
 	i64(p, op->ttl_ms);
 	u64(p, (uint64_t)op->status);
--- a/src/node/admin_table.c
+++ b/src/node/admin_table.c
@@ -146,7 +146,7 @@
 	g_string_append_printf(s, "{\"version\":%llu,\"instances\":[",
 			       (unsigned long long)docs_version(node.doc_table));
 	for (i = 0; v && i < v->nmembers; i++) {
-		version = digest_table(v->member[i].id, &since);
+		version = digest_get_table(v->member[i].id, &since);
 		g_string_append_printf(s, "%s{\"instance\":", i ? "," : "");
 		jsonw_str(s, v->member[i].name);
 		g_string_append_printf(s, ",\"version\":%llu,\"for_ms\":%lld}",
--- a/src/node/call.c
+++ b/src/node/call.c
@@ -1,5 +1,4 @@
-/* A plain call: answered at once or refused at once; one that may not be repeated is sent once.
- */
+/* Plain calls: never queued. A call that is not repeatable is sent at most once. */
 #include "call.h"
 #include "claim.h"
 #include "clock.h"
@@ -13,11 +12,11 @@
 #include <errno.h>
 #include <string.h>
 
-#define ANSWER_MAX (4u << 20)
+#define ANSWER_MAX (4u << 20) /* bytes */
 #define BUSY_RETRY_MS 100
 #define DOWN_RETRY_MS 1000
-#define WAIT_EXTRA_US 1000000
-#define IDEM_MAX 255
+#define WAIT_EXTRA_US 1000000 /* waited for the exchange beyond its own time-out */
+#define IDEM_KEY_MAX 255
 
 struct call {
 	struct mg_connection *conn;
@@ -25,7 +24,7 @@
 	const struct tbl_group *group;
 	const struct tbl_service *service;
 	struct req *req;
-	const char *path, *type, *idem;
+	const char *path, *type, *idem_key;
 	char *body;
 	size_t len;
 	uint32_t attempt;
@@ -77,8 +76,8 @@
 		return refuse(c, REF_UNAUTHORIZED, STEP_AUTH, 0, "no group has this key");
 	if (find_service(c)) return -1;
 	c->type = mg_get_header(c->conn, "Content-Type");
-	c->idem = mg_get_header(c->conn, "Idempotency-Key");
-	if (c->idem && (!*c->idem || strlen(c->idem) > IDEM_MAX))
+	c->idem_key = mg_get_header(c->conn, "Idempotency-Key");
+	if (c->idem_key && (!*c->idem_key || strlen(c->idem_key) > IDEM_KEY_MAX))
 		return refuse(c, REF_BAD_REQUEST, STEP_PARSE, 0,
 			      "Idempotency-Key must have 1 to 255 bytes");
 	c->body = http_body(c->conn, (size_t)node.cfg.body_bytes, &c->len, &why);
@@ -93,7 +92,9 @@
 	http_send(c->conn, status, type[0] ? type : "application/octet-stream", body, n, NULL);
 }
 
-static void maybe(struct call *c, enum refusal why, uint32_t retry_ms, const char *text)
+/* Refuses a call of which an earlier attempt may have run. */
+static void refuse_unknown(struct call *c, enum refusal why, uint32_t retry_ms,
+			   const char *text)
 {
 	struct http_error h = {.why = why, .ran = RAN_MAYBE, .retry_after_ms = retry_ms};
 
@@ -101,34 +102,36 @@
 	http_error(c->conn, &h);
 }
 
-/* Whether the call may be sent now; if not, its answer is out. */
-static int take_claim(struct call *c)
+/* Claims the key of a call that must run at most once. Returns 0 when the call may be sent;
+ * else the answer has been sent. */
+static int acquire_claim(struct call *c)
 {
 	struct claim_reply r;
 	uint64_t hash = hash_bytes(c->body, c->len) ^ hash_name(c->path);
 
-	if (c->service->repeatable || !c->idem) return 0;
-	claim_op_init(&c->claim, c->group->name, c->service->name, c->idem, hash,
+	if (c->service->repeatable || !c->idem_key) return 0;
+	claim_op_init(&c->claim, c->group->name, c->service->name, c->idem_key, hash,
 		      node.cfg.call_timeout_ms + node.cfg.connect_ms);
-	claim_do(c->req, &c->claim, &r);
+	claim_execute(c->req, &c->claim, &r);
 	switch (r.result) {
-	case CLAIM_TAKEN: c->claimed = 1; break;
-	case CLAIM_ANSWERED: answer(c, r.status, r.content, r.answer, r.answer_len); break;
+	case CLAIM_ACQUIRED: c->claimed = 1; break;
+	case CLAIM_ANSWERED: answer(c, r.status, r.content_type, r.answer, r.answer_len); break;
 	case CLAIM_RUNNING:
-		maybe(c, REF_IN_PROGRESS, BUSY_RETRY_MS, "a call with this key is running");
+		refuse_unknown(c, REF_IN_PROGRESS, BUSY_RETRY_MS,
+			       "a call with this key is running");
 		break;
 	case CLAIM_UNKNOWN:
-		maybe(c, REF_MAY_HAVE_RUN, 0,
-		      "a call with this key may have run; its answer is lost");
+		refuse_unknown(c, REF_MAY_HAVE_RUN, 0,
+			       "a call with this key may have run; its answer is lost");
 		break;
-	case CLAIM_OTHER:
+	case CLAIM_CONFLICT:
 		refuse(c, REF_CONFLICT, STEP_ADMIT, 0, "this key was used with another call");
 		break;
 	case CLAIM_FULL:
 		refuse(c, REF_CLAIMS_FULL, STEP_PLATFORM, DOWN_RETRY_MS,
 		       "no more claims fit now");
 		break;
-	case CLAIM_DOWN:
+	case CLAIM_UNAVAILABLE:
 		refuse(c, REF_PLATFORM_DOWN, STEP_PLATFORM, DOWN_RETRY_MS,
 		       "the claim can't be made now");
 	}
@@ -136,20 +139,20 @@
 	return c->claimed ? 0 : -1;
 }
 
-/* How it ended, for whoever asks with the same key. */
-static void settle_claim(struct call *c, enum claim_op_type how, const struct req_msg *m)
+/* Records how the call ended, for retries with the same key. */
+static void settle_claim(struct call *c, enum claim_op_type end, const struct req_msg *m)
 {
 	struct claim_reply r;
 
 	if (!c->claimed) return;
-	c->claim.type = how;
-	if (how == CLAIM_OP_ANSWER) {
+	c->claim.type = end;
+	if (end == CLAIM_OP_ANSWER) {
 		c->claim.status = (int)m->u.end.status;
-		strcpy(c->claim.content, m->u.end.type);
+		strcpy(c->claim.content_type, m->u.end.type);
 		c->claim.answer = m->data;
 		c->claim.answer_len = m->len;
 	}
-	claim_do(c->req, &c->claim, &r);
+	claim_execute(c->req, &c->claim, &r);
 	claim_reply_free(&r);
 }
 
@@ -163,7 +166,7 @@
 		.body = g_memdup2(c->body, c->len + 1),
 		.len = c->len,
 		.attempt = ++c->attempt,
-		.key = c->idem,
+		.key = c->idem_key,
 		.req = c->req,
 		.connect_ms = node.cfg.connect_ms,
 		.timeout_ms = node.cfg.call_timeout_ms,
@@ -175,7 +178,7 @@
 
 	while (x && clock_us() < until) {
 		m = req_wait(c->req, until);
-		while (m && (m->attempt != c->attempt || m->type == REQ_RECHECK)) {
+		while (m && (m->attempt != c->attempt || m->type == REQ_VIEW_CHANGED)) {
 			struct req_msg *next = m->next;
 
 			if (m->type == REQ_END || m->type == REQ_FAIL)
@@ -190,7 +193,7 @@
 	return m;
 }
 
-static void free_all(struct req_msg *m)
+static void free_messages(struct req_msg *m)
 {
 	struct req_msg *next;
 
@@ -200,13 +203,13 @@
 	}
 }
 
-static void finish(struct call *c, const struct req_msg *m)
+static void finish_call(struct call *c, const struct req_msg *m)
 {
 	settle_claim(c, m->len > CLAIM_ANSWER_MAX ? CLAIM_OP_LOST : CLAIM_OP_ANSWER, m);
 	answer(c, (int)m->u.end.status, m->u.end.type, m->data, m->len);
 }
 
-static void fail(struct call *c, const struct req_msg *m, const char *peer)
+static void fail_call(struct call *c, const struct req_msg *m, const char *peer)
 {
 	struct http_error e = {.why = REF_ENGINE_FAILED, .retry_after_ms = DOWN_RETRY_MS};
 	int sent = !m || m->u.fail.sent;
@@ -221,10 +224,10 @@
 	http_error(c->conn, &e);
 }
 
-static void no_place(struct call *c, int any)
+static void refuse_no_instance(struct call *c, int exists)
 {
 	settle_claim(c, CLAIM_OP_RELEASE, NULL);
-	if (any)
+	if (exists)
 		refuse(c, REF_BUSY, STEP_ADMIT, BUSY_RETRY_MS,
 		       "every instance of the service is busy");
 	else
@@ -232,7 +235,7 @@
 		       "no instance of the service is known");
 }
 
-static int again(const struct call *c, const struct req_msg *m, uint32_t tries)
+static int may_retry(const struct call *c, const struct req_msg *m, uint32_t tries)
 {
 	if (!m || m->type != REQ_FAIL || tries >= node.cfg.retries) return 0;
 	return !m->u.fail.sent || c->service->repeatable;
@@ -245,27 +248,27 @@
 	struct req_msg *m = NULL;
 	uint64_t avoid = 0;
 	uint32_t tries = 0;
-	int any = 0;
+	int exists = 0;
 
 	for (;;) {
 		b = v ? places_take(v, c->service->id, (uint32_t)node.cfg.call_concurrency,
-				    avoid, &any)
+				    avoid, &exists)
 		      : NULL;
 		if (!b) break;
 		m = exchange(c, b->address);
 		places_give(b->id);
-		if (!again(c, m, tries++)) break;
+		if (!may_retry(c, m, tries++)) break;
 		met_retried(m->u.fail.why);
 		avoid = b->id;
-		free_all(m);
+		free_messages(m);
 	}
 	if (!b)
-		no_place(c, any);
+		refuse_no_instance(c, exists);
 	else if (m && m->type == REQ_END)
-		finish(c, m);
+		finish_call(c, m);
 	else
-		fail(c, m, b->address);
-	if (b) free_all(m);
+		fail_call(c, m, b->address);
+	if (b) free_messages(m);
 	view_unref(v);
 }
 
@@ -276,13 +279,13 @@
 	met_add(MET_CALLS, 1);
 	if (node_lapsed())
 		return refuse(&c, REF_DRAINING, STEP_ADMIT, BUSY_RETRY_MS,
-			      "this instance is leaving; ask where again");
+			      "this instance is draining; ask /v1/where for another");
 	if (!read_call(&c)) {
 		c.req = req_new((uint32_t)node.cfg.requests);
 		if (!c.req)
 			refuse(&c, REF_BUSY, STEP_ADMIT, BUSY_RETRY_MS,
 			       "this instance is full");
-		else if (!take_claim(&c))
+		else if (!acquire_claim(&c))
 			run(&c);
 		if (c.req) req_close(c.req);
 	}
--- a/src/node/caller.c
+++ b/src/node/caller.c
@@ -1,5 +1,6 @@
-/* CivetWeb tells nobody that a caller closed its connection while nothing is written to it,
- * and gives no descriptor. It is found once by its two ports, only for requests that wait. */
+/* Detects callers that close their connection. CivetWeb does not report this while nothing is
+ * written, and does not expose the descriptor; so it is searched for by remote address and the
+ * two ports, once a request and only when needed. */
 #include "http.h"
 #include <arpa/inet.h>
 #include <errno.h>
@@ -16,7 +17,7 @@
 	return -1;
 }
 
-static int is_it(int fd, const struct mg_request_info *i)
+static int matches_connection(int fd, const struct mg_request_info *i)
 {
 	struct sockaddr_storage s;
 	socklen_t n = sizeof s;
@@ -38,8 +39,8 @@
 	int fd;
 
 	for (fd = 3; fd < FDS_MAX; fd++)
-		if (is_it(fd, i)) return fd;
-	return -2;
+		if (matches_connection(fd, i)) return fd;
+	return -2; /* not found: caller_fd does not search again */
 }
 
 int caller_fd(struct caller *c, struct mg_connection *conn)
--- a/src/node/claim.c
+++ b/src/node/claim.c
@@ -1,4 +1,4 @@
-/* The entry's side of a claim: to the shard's home and back. */
+/* Sends operations on claims to the home of their shard and waits for the reply. */
 #include "claim.h"
 #include "clock.h"
 #include "hash.h"
@@ -9,7 +9,7 @@
 #include <errno.h>
 #include <string.h>
 
-#define EXTRA_US 500000 /* beyond the platform's time-out */
+#define REPLY_MARGIN_US 500000 /* waited for the reply beyond the platform's time-out */
 
 uint32_t claim_shard_of(const char *key)
 {
@@ -17,9 +17,9 @@
 }
 
 void claim_op_init(struct claim_op *op, const char *group, const char *service,
-		   const char *idem, uint64_t body_hash, int64_t ttl_ms)
+		   const char *idem_key, uint64_t body_hash, int64_t ttl_ms)
 {
-	char *name = g_strdup_printf("%s\n%s\n%s", group, service, idem);
+	char *name = g_strdup_printf("%s\n%s\n%s", group, service, idem_key);
 	char *hex = g_compute_checksum_for_string(G_CHECKSUM_SHA256, name, -1);
 
 	memset(op, 0, sizeof *op);
@@ -55,43 +55,43 @@
 	return ticket_send(home, &m);
 }
 
-static int take_reply(const struct req_msg *m, struct claim_reply *out)
+static int read_reply(const struct req_msg *m, struct claim_reply *out)
 {
-	if (m->type != REQ_CLAIMED) return 0;
+	if (m->type != REQ_CLAIM_REPLY) return 0;
 	out->result = (enum claim_result)m->u.claimed.result;
 	out->status = m->u.claimed.status;
-	strcpy(out->content, m->u.claimed.content);
+	strcpy(out->content_type, m->u.claimed.content);
 	out->answer_len = m->len;
 	out->answer = g_memdup2(m->data, m->len + 1);
 	return 1;
 }
 
-/* Other messages that a plain call's thread may get here say nothing to it. */
-static int take_replies(struct req_msg *m, struct claim_reply *out)
+/* Finds the reply and frees all messages; a plain call needs none of the others. */
+static int find_reply(struct req_msg *m, struct claim_reply *out)
 {
 	struct req_msg *next;
-	int got = 0;
+	int found = 0;
 
 	for (; m; m = next) {
 		next = m->next;
-		if (!got) got = take_reply(m, out);
+		if (!found) found = read_reply(m, out);
 		g_free(m);
 	}
-	return got;
+	return found;
 }
 
-void claim_do(struct req *r, const struct claim_op *op, struct claim_reply *out)
+void claim_execute(struct req *r, const struct claim_op *op, struct claim_reply *out)
 {
-	int64_t until = clock_us() + node.cfg.platform_timeout_ms * 1000 + EXTRA_US;
+	int64_t until = clock_us() + node.cfg.platform_timeout_ms * 1000 + REPLY_MARGIN_US;
 	struct claim_op release;
 
 	memset(out, 0, sizeof *out);
-	out->result = CLAIM_DOWN;
+	out->result = CLAIM_UNAVAILABLE;
 	if (send_op(op, req_handle(r))) return;
 	while (clock_us() < until)
-		if (take_replies(req_wait(r, until), out)) return;
-	if (op->type != CLAIM_OP_TAKE) return;
-	/* Nothing will be sent: should the claim be made after all, it goes away again. */
+		if (find_reply(req_wait(r, until), out)) return;
+	if (op->type != CLAIM_OP_ACQUIRE) return;
+	/* The call is not sent, so a claim that is made later must be released. */
 	release = *op;
 	release.type = CLAIM_OP_RELEASE;
 	send_op(&release, req_handle(r));
--- a/src/node/claim_shard.c
+++ b/src/node/claim_shard.c
@@ -40,7 +40,7 @@
 	if (r->state == CLAIM_DONE) {
 		b64 = g_base64_encode((const guchar *)r->answer, r->answer_len);
 		g_string_append_printf(t, ",\"status\":%d,\"type\":", r->status);
-		jsonw_str(t, r->type);
+		jsonw_str(t, r->content_type);
 		g_string_append_printf(t, ",\"answer\":\"%s\"", b64);
 		g_free(b64);
 	}
@@ -48,37 +48,37 @@
 	return g_string_free(t, FALSE);
 }
 
-/* The record's text is made anew after each change. */
-static void changed(struct claim_shard *s, struct claim_record *r)
+/* Rebuilds the record's text after a change. */
+static void record_changed(struct claim_shard *s, struct claim_record *r)
 {
 	if (r->text) s->bytes -= strlen(r->text) + 1;
 	g_free(r->text);
 	r->text = record_text(r);
 	s->bytes += strlen(r->text) + 1;
-	s->changed = 1;
+	s->dirty = 1;
 }
 
-static void put(struct claim_shard *s, struct claim_record *r)
+static void put_record(struct claim_shard *s, struct claim_record *r)
 {
 	g_hash_table_replace(s->records, r->key, r);
-	changed(s, r);
+	record_changed(s, r);
 }
 
-static void drop(struct claim_shard *s, struct claim_record *r)
+static void remove_record(struct claim_shard *s, struct claim_record *r)
 {
 	s->bytes -= strlen(r->text) + 1;
-	s->changed = 1;
+	s->dirty = 1;
 	g_hash_table_remove(s->records, r->key);
 }
 
-static const char *text_of(json_object *o, const char *key)
+static const char *string_field(json_object *o, const char *key)
 {
 	json_object *v;
 
 	return json_object_object_get_ex(o, key, &v) ? json_object_get_string(v) : "";
 }
 
-static int64_t int_of(json_object *o, const char *key)
+static int64_t int_field(json_object *o, const char *key)
 {
 	json_object *v;
 
@@ -88,23 +88,23 @@
 static struct claim_record *read_record(const char *key, json_object *o)
 {
 	struct claim_record *r = g_new0(struct claim_record, 1);
-	const char *state = text_of(o, "state");
+	const char *state = string_field(o, "state");
 
 	g_strlcpy(r->key, key, sizeof r->key);
-	g_strlcpy(r->attempt, text_of(o, "attempt"), sizeof r->attempt);
-	g_strlcpy(r->type, text_of(o, "type"), sizeof r->type);
+	g_strlcpy(r->attempt, string_field(o, "attempt"), sizeof r->attempt);
+	g_strlcpy(r->content_type, string_field(o, "type"), sizeof r->content_type);
 	r->state = !strcmp(state, "done")   ? CLAIM_DONE
 		   : !strcmp(state, "lost") ? CLAIM_LOST
 					    : CLAIM_CLAIMED;
-	r->body_hash = strtoull(text_of(o, "body"), NULL, 16);
-	r->at_ms = int_of(o, "at_ms");
-	r->status = (int)int_of(o, "status");
+	r->body_hash = strtoull(string_field(o, "body"), NULL, 16);
+	r->at_ms = int_field(o, "at_ms");
+	r->status = (int)int_field(o, "status");
 	if (r->state == CLAIM_DONE)
-		r->answer = (char *)g_base64_decode(text_of(o, "answer"), &r->answer_len);
+		r->answer = (char *)g_base64_decode(string_field(o, "answer"), &r->answer_len);
 	return r;
 }
 
-int claim_shard_read(struct claim_shard *s, const char *text)
+int claim_shard_parse(struct claim_shard *s, const char *text)
 {
 	json_object *o = json_tokener_parse(text);
 
@@ -116,14 +116,14 @@
 	}
 	json_object_object_foreach(o, key, v)
 	{
-		put(s, read_record(key, v));
+		put_record(s, read_record(key, v));
 	}
 	json_object_put(o);
-	s->changed = 0;
+	s->dirty = 0;
 	return 0;
 }
 
-char *claim_shard_write(const struct claim_shard *s, gsize *len)
+char *claim_shard_format(const struct claim_shard *s, gsize *len)
 {
 	GString *t = g_string_sized_new(s->bytes + 16);
 	GHashTableIter it;
@@ -151,29 +151,30 @@
 		r = p;
 		if (now_ms - r->at_ms <= keep_ms) continue;
 		s->bytes -= strlen(r->text) + 1;
-		s->changed = 1;
+		s->dirty = 1;
 		g_hash_table_iter_remove(&it);
 	}
 }
 
-static enum claim_result judge(const struct claim_record *r, const struct claim_op *op,
-			       int64_t now_ms)
+/* The result of an attempt to claim a key that has a record. */
+static enum claim_result existing_result(const struct claim_record *r,
+					 const struct claim_op *op, int64_t now_ms)
 {
-	if (!strcmp(r->attempt, op->attempt)) return CLAIM_TAKEN;
-	if (r->body_hash != op->body_hash) return CLAIM_OTHER;
+	if (!strcmp(r->attempt, op->attempt)) return CLAIM_ACQUIRED;
+	if (r->body_hash != op->body_hash) return CLAIM_CONFLICT;
 	if (r->state == CLAIM_DONE) return CLAIM_ANSWERED;
 	if (r->state == CLAIM_LOST) return CLAIM_UNKNOWN;
 	return now_ms - r->at_ms < op->ttl_ms ? CLAIM_RUNNING : CLAIM_UNKNOWN;
 }
 
-static void take(struct claim_shard *s, struct claim_record *r, const struct claim_op *op,
-		 int64_t now_ms, struct claim_reply *out)
+static void acquire(struct claim_shard *s, struct claim_record *r, const struct claim_op *op,
+		    int64_t now_ms, struct claim_reply *out)
 {
 	if (r) {
-		out->result = judge(r, op, now_ms);
+		out->result = existing_result(r, op, now_ms);
 		if (out->result != CLAIM_ANSWERED) return;
 		out->status = r->status;
-		g_strlcpy(out->content, r->type, sizeof out->content);
+		g_strlcpy(out->content_type, r->content_type, sizeof out->content_type);
 		out->answer = g_memdup2(r->answer, r->answer_len + 1);
 		out->answer_len = (uint32_t)r->answer_len;
 		return;
@@ -185,8 +186,8 @@
 	g_strlcpy(r->attempt, op->attempt, sizeof r->attempt);
 	r->body_hash = op->body_hash;
 	r->at_ms = now_ms;
-	put(s, r);
-	out->result = CLAIM_TAKEN;
+	put_record(s, r);
+	out->result = CLAIM_ACQUIRED;
 }
 
 static void record_answer(struct claim_shard *s, struct claim_record *r,
@@ -194,17 +195,17 @@
 {
 	if (s->bytes + (gsize)op->answer_len * 4 / 3 + 256 > CLAIM_SHARD_BYTES_MAX) {
 		r->state = CLAIM_LOST;
-		changed(s, r);
+		record_changed(s, r);
 		return;
 	}
 	r->state = CLAIM_DONE;
 	r->status = op->status;
-	g_strlcpy(r->type, op->content, sizeof r->type);
+	g_strlcpy(r->content_type, op->content_type, sizeof r->content_type);
 	g_free(r->answer);
 	r->answer = g_malloc0(op->answer_len + 1);
 	if (op->answer_len) memcpy(r->answer, op->answer, op->answer_len);
 	r->answer_len = op->answer_len;
-	changed(s, r);
+	record_changed(s, r);
 }
 
 void claim_shard_apply(struct claim_shard *s, const struct claim_op *op, int64_t now_ms,
@@ -213,23 +214,23 @@
 	struct claim_record *r = g_hash_table_lookup(s->records, op->key);
 
 	memset(out, 0, sizeof *out);
-	if (op->type == CLAIM_OP_TAKE) {
-		take(s, r, op, now_ms, out);
+	if (op->type == CLAIM_OP_ACQUIRE) {
+		acquire(s, r, op, now_ms, out);
 		return;
 	}
-	/* The rest is for the attempt that holds the claim; anybody else's changes nothing. */
+	/* Only the attempt that holds the claim may change it. */
 	if (!r || strcmp(r->attempt, op->attempt)) {
-		out->result = CLAIM_OTHER;
+		out->result = CLAIM_CONFLICT;
 		return;
 	}
-	out->result = CLAIM_TAKEN;
+	out->result = CLAIM_ACQUIRED;
 	switch (op->type) {
 	case CLAIM_OP_ANSWER: record_answer(s, r, op); return;
 	case CLAIM_OP_LOST:
 		r->state = CLAIM_LOST;
-		changed(s, r);
+		record_changed(s, r);
 		return;
-	case CLAIM_OP_RELEASE: drop(s, r); return;
-	case CLAIM_OP_TAKE: return;
+	case CLAIM_OP_RELEASE: remove_record(s, r); return;
+	case CLAIM_OP_ACQUIRE: return;
 	}
 }
--- a/src/node/claims.c
+++ b/src/node/claims.c
@@ -1,4 +1,5 @@
-/* The claims thread: what waits for one shard is written together, within the write budget. */
+/* The claims thread: batches the operations waiting for a shard into one write, within a rate
+ * limit on writes. */
 #include "claim_shard.h"
 #include "clock.h"
 #include "kv.h"
@@ -15,12 +16,12 @@
 #include <urcu.h>
 
 #define RING_CAP 8192
-#define TAKE_MAX 512
+#define BATCH_MAX 512 /* operations taken from the ring at once */
 #define IDLE_US 50000
-#define CONFLICTS_MAX 4
-#define DOWN_US 500000   /* after a failure, claims are refused at once for so long */
-#define KEEP_MS 600000   /* claims are forgotten after so long */
-#define CACHE_US 2000000 /* a shard not written for so long is read again */
+#define CONFLICTS_MAX 4      /* compare-and-swap attempts per commit */
+#define BACKOFF_US 500000    /* after the platform failed, claims are refused for so long */
+#define RETENTION_MS 600000  /* claims older than this are dropped */
+#define CACHE_TTL_US 2000000 /* a shard not written for so long is read again before use */
 
 struct job {
 	uint64_t from, request;
@@ -32,18 +33,18 @@
 	struct claim_shard shard;
 	int loaded;
 	uint64_t version;
-	double allowance; /* writes that may be made now */
+	double write_tokens; /* token bucket: writes allowed now */
 	int64_t refilled_us, written_us;
-	GPtrArray *waiting; /* of job */
+	GPtrArray *waiting; /* of struct job */
 };
 
 static struct {
 	struct ring ring;
 	pthread_t thread;
 	struct home home[CLAIM_SHARDS];
-	int64_t down_until_us;
+	int64_t backoff_until_us;
 	uint32_t pending;
-} cl;
+} claims;
 
 static void job_free(struct job *j)
 {
@@ -60,7 +61,7 @@
 	j->request = request;
 	j->op = *op;
 	j->op.answer = op->answer_len ? g_memdup2(op->answer, op->answer_len) : NULL;
-	if (!ring_push(&cl.ring, j)) return 0;
+	if (!ring_push(&claims.ring, j)) return 0;
 	job_free(j);
 	return -EAGAIN;
 }
@@ -72,7 +73,7 @@
 	m.u.claimed.request = j->request;
 	m.u.claimed.result = j->reply.result;
 	m.u.claimed.status = (uint32_t)j->reply.status;
-	strcpy(m.u.claimed.content, j->reply.content);
+	strcpy(m.u.claimed.content, j->reply.content_type);
 	m.u.claimed.answer = j->reply.answer;
 	m.u.claimed.answer_len = j->reply.answer_len;
 	ticket_send(j->from, &m);
@@ -84,7 +85,7 @@
 	guint i;
 
 	for (i = 0; i < h->waiting->len; i++) reply(h->waiting->pdata[i]);
-	cl.pending -= h->waiting->len;
+	claims.pending -= h->waiting->len;
 	g_ptr_array_set_size(h->waiting, 0);
 }
 
@@ -94,11 +95,11 @@
 
 	h->loaded = 0;
 	for (i = 0; i < h->waiting->len; i++)
-		((struct job *)h->waiting->pdata[i])->reply.result = CLAIM_DOWN;
+		((struct job *)h->waiting->pdata[i])->reply.result = CLAIM_UNAVAILABLE;
 	reply_all(h);
 }
 
-static void key_of(int shard, char out[48])
+static void shard_key(int shard, char out[48])
 {
 	snprintf(out, 48, "saddlehead/claims/%d", shard);
 }
@@ -115,7 +116,7 @@
 	} else if (rc) {
 		return rc;
 	}
-	rc = claim_shard_read(&h->shard, text);
+	rc = claim_shard_parse(&h->shard, text);
 	g_free(text);
 	h->loaded = !rc;
 	return rc;
@@ -126,7 +127,7 @@
 	struct job *j;
 	guint i;
 
-	claim_shard_expire(&h->shard, now_ms, KEEP_MS);
+	claim_shard_expire(&h->shard, now_ms, RETENTION_MS);
 	for (i = 0; i < h->waiting->len; i++) {
 		j = h->waiting->pdata[i];
 		g_free(j->reply.answer);
@@ -134,9 +135,9 @@
 	}
 }
 
-/* The write's answer was lost: if it is there now, the version has moved and the text is ours.
- */
-static int settle(struct home *h, const char *key, const char *text)
+/* The answer to a write was lost. The write succeeded if the stored text is the one written;
+ * the version is then up to date too. */
+static int resolve_lost_write(struct home *h, const char *key, const char *text)
 {
 	char *now;
 	size_t len;
@@ -158,44 +159,44 @@
 
 	if (rc) return rc;
 	apply_all(h, clock_wall_ms());
-	if (!h->shard.changed) return 0;
-	text = claim_shard_write(&h->shard, &len);
-	h->allowance -= 1;
+	if (!h->shard.dirty) return 0;
+	text = claim_shard_format(&h->shard, &len);
+	h->write_tokens -= 1;
 	rc = kv_put(key, text, len, h->version, &h->version, NULL);
-	if (rc == -EIO) rc = settle(h, key, text);
+	if (rc == -EIO) rc = resolve_lost_write(h, key, text);
 	g_free(text);
 	if (rc)
 		h->loaded = 0;
 	else
-		h->shard.changed = 0;
+		h->shard.dirty = 0;
 	h->written_us = clock_us();
 	return rc;
 }
 
 static void commit(int shard)
 {
-	struct home *h = &cl.home[shard];
+	struct home *h = &claims.home[shard];
 	char key[48];
 	int i, rc = -ECANCELED;
 
-	key_of(shard, key);
-	/* What another home may have written meanwhile is only seen by reading. */
-	if (clock_us() - h->written_us > CACHE_US) h->loaded = 0;
+	shard_key(shard, key);
+	/* Another home may have written since; only reading shows that. */
+	if (clock_us() - h->written_us > CACHE_TTL_US) h->loaded = 0;
 	for (i = 0; i < CONFLICTS_MAX && rc == -ECANCELED; i++) rc = try_commit(h, key);
 	if (!rc) {
 		reply_all(h);
 		return;
 	}
-	if (rc == -EIO || rc == -EBUSY) cl.down_until_us = clock_us() + DOWN_US;
+	if (rc == -EIO || rc == -EBUSY) claims.backoff_until_us = clock_us() + BACKOFF_US;
 	fail_all(h);
 }
 
-static void refill(struct home *h, int64_t now)
+static void refill_tokens(struct home *h, int64_t now)
 {
 	double rate = (double)node.cfg.claim_writes_per_s / CLAIM_SHARDS;
 
-	h->allowance += (double)(now - h->refilled_us) / 1e6 * rate;
-	if (h->allowance > rate) h->allowance = rate;
+	h->write_tokens += (double)(now - h->refilled_us) / 1e6 * rate;
+	if (h->write_tokens > rate) h->write_tokens = rate;
 	h->refilled_us = now;
 }
 
@@ -206,33 +207,33 @@
 	int i;
 
 	for (i = 0; i < CLAIM_SHARDS; i++) {
-		h = &cl.home[i];
+		h = &claims.home[i];
 		if (!h->waiting->len) continue;
-		if (now < cl.down_until_us) {
+		if (now < claims.backoff_until_us) {
 			fail_all(h);
 			continue;
 		}
-		refill(h, now);
-		if (h->allowance >= 1) commit(i);
+		refill_tokens(h, now);
+		if (h->write_tokens >= 1) commit(i);
 	}
 }
 
 static void *run(void *arg)
 {
-	void *item[TAKE_MAX];
+	void *item[BATCH_MAX];
 	struct job *j;
 	uint32_t i, n;
 
 	(void)arg;
 	rcu_register_thread();
 	while (!node.stopping) {
-		n = ring_wait(&cl.ring, item, TAKE_MAX,
-			      clock_us() + (cl.pending ? 5000 : IDLE_US));
+		n = ring_wait(&claims.ring, item, BATCH_MAX,
+			      clock_us() + (claims.pending ? 5000 : IDLE_US));
 		for (i = 0; i < n; i++) {
 			j = item[i];
-			g_ptr_array_add(cl.home[claim_shard_of(j->op.key)].waiting, j);
+			g_ptr_array_add(claims.home[claim_shard_of(j->op.key)].waiting, j);
 		}
-		cl.pending += n;
+		claims.pending += n;
 		commit_due();
 	}
 	rcu_unregister_thread();
@@ -243,15 +244,15 @@
 {
 	int i;
 
-	if (ring_init(&cl.ring, RING_CAP, 0)) return -ENOMEM;
+	if (ring_init(&claims.ring, RING_CAP, 0)) return -ENOMEM;
 	for (i = 0; i < CLAIM_SHARDS; i++) {
-		claim_shard_init(&cl.home[i].shard);
-		cl.home[i].waiting = g_ptr_array_new();
-		cl.home[i].allowance = 1;
-		cl.home[i].refilled_us = clock_us();
+		claim_shard_init(&claims.home[i].shard);
+		claims.home[i].waiting = g_ptr_array_new();
+		claims.home[i].write_tokens = 1;
+		claims.home[i].refilled_us = clock_us();
 	}
-	if (pthread_create(&cl.thread, NULL, run, NULL)) return -EAGAIN;
-	pthread_setname_np(cl.thread, "claims");
+	if (pthread_create(&claims.thread, NULL, run, NULL)) return -EAGAIN;
+	pthread_setname_np(claims.thread, "claims");
 	return 0;
 }
 
@@ -260,13 +261,13 @@
 	void *item;
 	int i;
 
-	pthread_join(cl.thread, NULL);
-	while (ring_take(&cl.ring, &item, 1)) job_free(item);
+	pthread_join(claims.thread, NULL);
+	while (ring_take(&claims.ring, &item, 1)) job_free(item);
 	for (i = 0; i < CLAIM_SHARDS; i++) {
-		while (cl.home[i].waiting->len)
-			job_free(g_ptr_array_steal_index(cl.home[i].waiting, 0));
-		g_ptr_array_unref(cl.home[i].waiting);
-		claim_shard_free(&cl.home[i].shard);
+		while (claims.home[i].waiting->len)
+			job_free(g_ptr_array_steal_index(claims.home[i].waiting, 0));
+		g_ptr_array_unref(claims.home[i].waiting);
+		claim_shard_free(&claims.home[i].shard);
 	}
-	ring_free(&cl.ring);
+	ring_free(&claims.ring);
 }
--- a/src/node/digest.c
+++ b/src/node/digest.c
@@ -5,7 +5,7 @@
 
 #define CANDIDATES_MAX 64
 
-struct entry {
+struct member_load {
 	uint64_t member;
 	struct core_digest d[WIRE_DIGESTS_MAX];
 	uint32_t n;
@@ -15,34 +15,34 @@
 
 struct candidate {
 	uint64_t keeper;
-	int near;
-	struct core_digest *d; /* NULL: nothing is known yet */
+	int same_dc;
+	struct core_digest *d; /* NULL: no load reported yet */
 };
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static GHashTable *entries;
+static GHashTable *members;
 
-static struct entry *find(uint64_t member)
+static struct member_load *find(uint64_t member)
 {
-	if (!entries)
-		entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	return g_hash_table_lookup(entries, &member);
+	if (!members)
+		members = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+	return g_hash_table_lookup(members, &member);
 }
 
-static struct entry *find_or_add(uint64_t member)
+static struct member_load *find_or_add(uint64_t member)
 {
-	struct entry *e = find(member);
+	struct member_load *e = find(member);
 
 	if (e) return e;
-	e = g_new0(struct entry, 1);
+	e = g_new0(struct member_load, 1);
 	e->member = member;
-	g_hash_table_insert(entries, &e->member, e);
+	g_hash_table_insert(members, &e->member, e);
 	return e;
 }
 
 void digest_set_table(uint64_t member, uint64_t version, int64_t now_us)
 {
-	struct entry *e;
+	struct member_load *e;
 
 	pthread_mutex_lock(&lock);
 	e = find_or_add(member);
@@ -53,9 +53,9 @@
 	pthread_mutex_unlock(&lock);
 }
 
-uint64_t digest_table(uint64_t member, int64_t *since_us)
+uint64_t digest_get_table(uint64_t member, int64_t *since_us)
 {
-	struct entry *e;
+	struct member_load *e;
 	uint64_t version = 0;
 
 	*since_us = 0;
@@ -71,7 +71,7 @@
 
 void digest_set(uint64_t member, const struct core_digest *d, uint32_t n)
 {
-	struct entry *e;
+	struct member_load *e;
 
 	if (n > WIRE_DIGESTS_MAX) n = WIRE_DIGESTS_MAX;
 	pthread_mutex_lock(&lock);
@@ -83,7 +83,7 @@
 
 uint32_t digest_get(uint64_t member, struct core_digest *d, uint32_t max)
 {
-	struct entry *e;
+	struct member_load *e;
 	uint32_t n = 0;
 
 	pthread_mutex_lock(&lock);
@@ -106,13 +106,13 @@
 {
 	pthread_mutex_lock(&lock);
 	find(0);
-	g_hash_table_foreach_remove(entries, not_in_view, (gpointer)v);
+	g_hash_table_foreach_remove(members, not_in_view, (gpointer)v);
 	pthread_mutex_unlock(&lock);
 }
 
 static struct core_digest *service_digest(uint64_t member, uint64_t service)
 {
-	struct entry *e = find(member);
+	struct member_load *e = find(member);
 	uint32_t i;
 
 	for (i = 0; e && i < e->n; i++)
@@ -135,28 +135,29 @@
 			;
 		if (k == n) {
 			c[n].keeper = b->keeper;
-			c[n].near = 0;
+			c[n].same_dc = 0;
 			c[n++].d = service_digest(b->keeper, service);
 		}
-		c[k].near |= !strcmp(b->dc, dc);
+		c[k].same_dc |= !strcmp(b->dc, dc);
 	}
 	return n;
 }
 
-/* Lower is better: first room, then the data centre, then the shorter queue, then more room. */
+/* Whether a is better than b. Compares, in this order: free capacity for the ticket, engines in
+ * the caller's data centre, queue length, free tokens. */
 static int better(const struct candidate *a, const struct candidate *b, uint32_t tokens)
 {
-	int room_a = a->d && !a->d->waiting && a->d->free_slots && a->d->free_tokens > tokens;
-	int room_b = b->d && !b->d->waiting && b->d->free_slots && b->d->free_tokens > tokens;
-	uint32_t wait_a = a->d ? a->d->waiting : 0, wait_b = b->d ? b->d->waiting : 0;
+	int fits_a = a->d && !a->d->waiting && a->d->free_slots && a->d->free_tokens > tokens;
+	int fits_b = b->d && !b->d->waiting && b->d->free_slots && b->d->free_tokens > tokens;
+	uint32_t queue_a = a->d ? a->d->waiting : 0, queue_b = b->d ? b->d->waiting : 0;
 
-	if (room_a != room_b) return room_a;
-	if (a->near != b->near) return a->near;
-	if (wait_a != wait_b) return wait_a < wait_b;
+	if (fits_a != fits_b) return fits_a;
+	if (a->same_dc != b->same_dc) return a->same_dc;
+	if (queue_a != queue_b) return queue_a < queue_b;
 	return (a->d ? a->d->free_tokens : 0) > (b->d ? b->d->free_tokens : 0);
 }
 
-static void count_in(struct core_digest *d, uint32_t tokens)
+static void add_expected_load(struct core_digest *d, uint32_t tokens)
 {
 	if (!d) return;
 	if (!d->free_slots || d->free_tokens <= tokens) {
@@ -182,7 +183,7 @@
 	}
 	if (best) {
 		keeper = best->keeper;
-		count_in(best->d, tokens);
+		add_expected_load(best->d, tokens);
 	}
 	pthread_mutex_unlock(&lock);
 	return keeper;
--- a/src/node/event_id.c
+++ b/src/node/event_id.c
@@ -1,6 +1,6 @@
-/* Event ids: "ENGINE/GENERATION/SIGNATURE/OFFSET"; the signature covers group, engine and
- * generation, so it is computed once a stream. Anybody's offset into their own stream is fine.
- */
+/* Event ids: "ENGINE/GENERATION/SIGNATURE/OFFSET". The signature covers group, engine and
+ * generation, so it is computed once per exchange. The offset is not signed, as a group may
+ * read its own stream from any offset. */
 #include "equal.h"
 #include "node.h"
 #include <errno.h>
@@ -52,7 +52,7 @@
 	return 0;
 }
 
-static int read_parts(const char *id, struct event_id *out, char sig[SIGNATURE_HEX + 1])
+static int parse(const char *id, struct event_id *out, char sig[SIGNATURE_HEX + 1])
 {
 	char **p = g_strsplit(id, "/", 5);
 	int ok = g_strv_length(p) == 4 && strlen(p[0]) < sizeof out->engine &&
@@ -71,9 +71,9 @@
 
 int event_id_read(const char *id, const char *group, struct event_id *out)
 {
-	char want[SIGNATURE_HEX + 1], got[SIGNATURE_HEX + 1];
+	char expected[SIGNATURE_HEX + 1], actual[SIGNATURE_HEX + 1];
 
-	if (read_parts(id, out, got)) return -EBADMSG;
-	if (sign(want, out->engine, out->gen, group)) return -ENOKEY;
-	return equal_secret(want, got, SIGNATURE_HEX) ? 0 : -EBADMSG;
+	if (parse(id, out, actual)) return -EBADMSG;
+	if (sign(expected, out->engine, out->gen, group)) return -ENOKEY;
+	return equal_secret(expected, actual, SIGNATURE_HEX) ? 0 : -EBADMSG;
 }
--- a/src/node/gen.c
+++ b/src/node/gen.c
@@ -1,4 +1,5 @@
-/* A generation from its request to its last token: waits, runs, is tried again or resumed. */
+/* Handles a completion request: waits for an engine, runs the generation there, and retries or
+ * resumes it after a failure. */
 #include "gen.h"
 #include "clock.h"
 #include "log.h"
@@ -6,23 +7,25 @@
 #include <errno.h>
 #include <string.h>
 
-#define CHECK_US 250000          /* how often a waiting caller is looked for */
-#define RUNNING_CHECK_US 2000000 /* the same while tokens come */
-#define STREAM_WAKE_US 10000000
-#define ASK_AGAIN_US 1000000 /* a ticket unanswered for so long is sent again */
+/* Intervals at which the caller's connection is checked: while the request waits, and while an
+ * answer that is not streamed is generated. */
+#define CALLER_CHECK_US 250000
+#define RUNNING_CHECK_US 2000000
+#define STREAM_WAKE_US 10000000  /* longest sleep of a running stream's thread */
+#define TICKET_RESEND_US 1000000 /* an unanswered ticket is sent again after this time */
 #define RETRY_DEFAULT_MS 1000
 
-static void give_up(struct gen *g, enum refusal why, enum ran ran, uint32_t retry_ms,
-		    enum step step, const char *peer, const char *text)
+static void fail_request(struct gen *g, enum refusal why, enum ran ran, uint32_t retry_ms,
+			 enum step step, const char *peer, const char *text)
 {
 	struct http_error e = {.why = why, .ran = ran, .retry_after_ms = retry_ms};
 
 	err_set(&e.err, -1, step, peer, "%s", text);
-	g->state = GEN_OVER;
-	gen_give_up(g, &e);
+	g->state = GEN_DONE;
+	gen_fail(g, &e);
 }
 
-static void drop_exchange(struct gen *g, int cancel)
+static void stop_exchange(struct gen *g, int cancel)
 {
 	if (!g->xfer) return;
 	mux_cancel(node.engines, g->xfer);
@@ -31,19 +34,19 @@
 	if (cancel) eng_cancel(node.engines, g->engine, g->id);
 }
 
-static void caller_gone(struct gen *g)
+static void on_caller_left(struct gen *g)
 {
 	met_add(MET_CALLER_LEFT, 1);
 	log_write(G_LOG_LEVEL_DEBUG, "front", g->group->name, g->id, g->engine,
 		  "The caller left.");
-	drop_exchange(g, 1);
+	stop_exchange(g, 1);
 	gen_release(g);
-	g->state = GEN_OVER;
+	g->state = GEN_DONE;
 	mg_disable_keep_alive(g->conn);
 }
 
-/* Starts the generation, or with body NULL goes on with the one that runs. */
-static void start(struct gen *g, int resume)
+/* Starts the generation at the engine, or with resume set continues the one that runs there. */
+static void start_exchange(struct gen *g, int resume)
 {
 	struct eng_start s = {
 		.address = g->engine,
@@ -51,27 +54,27 @@
 		.path = g->chat ? "/v1/chat/completions" : "/v1/completions",
 		.body = resume ? NULL : gen_engine_body(g),
 		.attempt = ++g->attempt,
-		.next = gen_next(g),
+		.next = gen_next_offset(g),
 		.req = g->req,
 		.times = {node.cfg.connect_ms, node.cfg.first_byte_ms, node.cfg.stall_ms},
 	};
 
-	drop_exchange(g, 0);
+	stop_exchange(g, 0);
 	g->state = GEN_RUNNING;
 	g->resuming = resume;
-	gen_attach(g, g->attempt);
+	gen_attach_sink(g, g->attempt);
 	g->xfer = eng_start(node.engines, &s);
 	if (g->xfer) return;
 	gen_release(g);
-	give_up(g, REF_RING_FULL, RAN_NO, RETRY_DEFAULT_MS, STEP_SEND, g->engine,
-		"too much at once");
+	fail_request(g, REF_RING_FULL, RAN_NO, RETRY_DEFAULT_MS, STEP_SEND, g->engine,
+		     "the queue to the engine links is full");
 }
 
-static void ask(struct gen *g, uint64_t avoid)
+static void submit_ticket(struct gen *g, uint64_t avoid)
 {
-	if (!gen_ask(g, avoid)) return;
-	give_up(g, REF_NO_ENGINE, RAN_NO, RETRY_DEFAULT_MS, STEP_KEEPER, "",
-		"no engine has this model now");
+	if (!gen_send_ticket(g, avoid)) return;
+	fail_request(g, REF_NO_ENGINE, RAN_NO, RETRY_DEFAULT_MS, STEP_KEEPER, "",
+		     "no engine has this model now");
 }
 
 static void on_grant(struct gen *g, const struct req_msg *m)
@@ -97,11 +100,11 @@
 		   (unsigned long long)node.self.id, (unsigned long long)node.self.incarnation,
 		   (unsigned long long)req_handle(g->req), g->attempt + 1);
 	if (b) {
-		start(g, 0);
+		start_exchange(g, 0);
 		return;
 	}
 	gen_release(g);
-	ask(g, m->u.grant.keeper);
+	submit_ticket(g, m->u.grant.keeper);
 }
 
 static enum refusal refusal_of(uint32_t why)
@@ -125,33 +128,34 @@
 	g->keeper = 0;
 	if (why == REF_NO_ENGINE && g->retries++ < node.cfg.retries) {
 		met_retried(RETRY_NOT_KEEPER);
-		ask(g, m->u.refuse.keeper);
+		submit_ticket(g, m->u.refuse.keeper);
 		return;
 	}
-	give_up(g, why, RAN_NO, why == REF_TOO_LONG ? 0 : m->u.refuse.retry_after_ms,
-		STEP_ADMIT, "", "refused before it ran");
+	fail_request(g, why, RAN_NO, why == REF_TOO_LONG ? 0 : m->u.refuse.retry_after_ms,
+		     STEP_ADMIT, "", "refused before it ran");
 }
 
-/* Nothing has reached the reader: another engine may start it over. */
+/* Starts the generation over, possibly at another engine; nothing of it has reached the reader.
+ */
 static void rerun(struct gen *g, const struct req_msg *m)
 {
 	met_retried(m->u.fail.why);
 	if (m->u.fail.sent) eng_cancel(node.engines, g->engine, g->id);
 	gen_release_failed(g);
 	g->sink->next = 0;
-	g->sink->taken = 0;
+	g->sink->received = 0;
 	g_string_truncate(g->text, 0);
-	ask(g, 0);
+	submit_ticket(g, 0);
 }
 
-static void fail_for_good(struct gen *g, const struct req_msg *m, int reader_has)
+static void fail_on_engine_error(struct gen *g, const struct req_msg *m, int delivered)
 {
 	const struct err *e = &m->u.fail.err;
-	enum ran ran = reader_has ? RAN_YES : m->u.fail.sent ? RAN_MAYBE : RAN_NO;
+	enum ran ran = delivered ? RAN_YES : m->u.fail.sent ? RAN_MAYBE : RAN_NO;
 
 	gen_release_failed(g);
-	give_up(g, reader_has ? REF_STREAM_LOST : REF_ENGINE_FAILED, ran, RETRY_DEFAULT_MS,
-		e->step, e->peer, e->text);
+	fail_request(g, delivered ? REF_STREAM_LOST : REF_ENGINE_FAILED, ran, RETRY_DEFAULT_MS,
+		     e->step, e->peer, e->text);
 }
 
 static int engine_rejects(long status)
@@ -159,37 +163,36 @@
 	return status == 400 || status == 413 || status == 422;
 }
 
-/* Whether the generation may still be there: it is asked for again rather than run again. */
-static int resumable(const struct gen *g, const struct req_msg *m, uint32_t next,
-		     int reader_has)
+/* Whether the engine may still have the generation, so that it is resumed and not run again. */
+static int resumable(const struct gen *g, const struct req_msg *m, uint32_t next, int delivered)
 {
 	if (m->u.fail.status == 404 || m->u.fail.status == 410) return 0;
-	if (reader_has) return 1;
+	if (delivered) return 1;
 	return next && !g->resuming && m->u.fail.why != RETRY_CROSSED;
 }
 
 static void on_fail(struct gen *g, const struct req_msg *m)
 {
 	uint32_t next;
-	int reader_has;
+	int delivered;
 
-	drop_exchange(g, 0);
-	gen_detach(g);
-	next = gen_next(g);
-	reader_has = g->stream && next;
+	stop_exchange(g, 0);
+	gen_detach_sink(g);
+	next = gen_next_offset(g);
+	delivered = g->stream && next;
 	if (engine_rejects(m->u.fail.status)) {
 		gen_release(g);
-		give_up(g, REF_BAD_REQUEST, RAN_NO, 0, m->u.fail.err.step, m->u.fail.err.peer,
-			"the engine rejects the request");
+		fail_request(g, REF_BAD_REQUEST, RAN_NO, 0, m->u.fail.err.step,
+			     m->u.fail.err.peer, "the engine rejects the request");
 		return;
 	}
 	if (g->retries++ >= node.cfg.retries) {
-		fail_for_good(g, m, reader_has);
-	} else if (resumable(g, m, next, reader_has)) {
+		fail_on_engine_error(g, m, delivered);
+	} else if (resumable(g, m, next, delivered)) {
 		met_retried(RETRY_RESUME);
-		start(g, 1);
-	} else if (reader_has) {
-		fail_for_good(g, m, 1);
+		start_exchange(g, 1);
+	} else if (delivered) {
+		fail_on_engine_error(g, m, 1);
 	} else {
 		rerun(g, m);
 	}
@@ -197,25 +200,25 @@
 
 static void on_end(struct gen *g)
 {
-	drop_exchange(g, 0);
-	gen_detach(g);
+	stop_exchange(g, 0);
+	gen_detach_sink(g);
 	gen_release(g);
-	g->state = GEN_OVER;
+	g->state = GEN_DONE;
 	if (gen_finish(g)) met_add(MET_CALLER_LEFT, 1);
 }
 
-static void take(struct gen *g, const struct req_msg *m)
+static void handle_message(struct gen *g, const struct req_msg *m)
 {
-	if (g->state == GEN_OVER && m->type != REQ_GRANT) return;
+	if (g->state == GEN_DONE && m->type != REQ_GRANT) return;
 	switch (m->type) {
 	case REQ_GRANT: on_grant(g, m); return;
 	case REQ_REFUSE: on_refuse(g, m); return;
-	case REQ_RECHECK: gen_recheck(g); return;
-	case REQ_READER:
-	case REQ_CLAIMED: return;
+	case REQ_VIEW_CHANGED: gen_check_keeper(g); return;
+	case REQ_READER_BLOCKED:
+	case REQ_CLAIM_REPLY: return;
 	case REQ_TOKEN:
 		if (m->attempt == g->attempt)
-			gen_token(g, m);
+			gen_add_token(g, m);
 		else
 			met_add(MET_ANSWERS_DROPPED, 1);
 		return;
@@ -228,65 +231,66 @@
 	}
 }
 
-static void take_all(struct gen *g, struct req_msg *m)
+static void handle_messages(struct gen *g, struct req_msg *m)
 {
 	struct req_msg *next;
 
 	for (; m; m = next) {
 		next = m->next;
-		take(g, m);
+		handle_message(g, m);
 		g_free(m);
 	}
-	if (g->state == GEN_OVER) return;
-	if (gen_flush(g)) caller_gone(g);
+	if (g->state == GEN_DONE) return;
+	if (gen_flush(g)) on_caller_left(g);
 }
 
 static void check_caller(struct gen *g, int64_t now)
 {
-	g->checked_us = now;
-	if (caller_left(&g->caller, g->conn)) caller_gone(g);
+	g->caller_checked_us = now;
+	if (caller_left(&g->caller, g->conn)) on_caller_left(g);
 }
 
 static void check_times(struct gen *g)
 {
 	int64_t now = clock_us();
 
-	/* Of a reader that is being written to, the socket itself tells. */
-	if (g->state == GEN_WAITING ? now - g->checked_us >= CHECK_US
-				    : !g->stream && now - g->checked_us >= RUNNING_CHECK_US)
+	/* While a stream is written, a failed write shows that the reader has left. */
+	if (g->state == GEN_WAITING
+		    ? now - g->caller_checked_us >= CALLER_CHECK_US
+		    : !g->stream && now - g->caller_checked_us >= RUNNING_CHECK_US)
 		check_caller(g, now);
 	if (g->state != GEN_WAITING) return;
 	if (now >= g->deadline_us) {
 		gen_release(g);
-		give_up(g, REF_DEADLINE, RAN_NO, RETRY_DEFAULT_MS, STEP_ADMIT, "",
-			"no engine was free in time");
+		fail_request(g, REF_DEADLINE, RAN_NO, RETRY_DEFAULT_MS, STEP_ADMIT, "",
+			     "no engine was free in time");
 		return;
 	}
-	if (now - g->asked_us >= ASK_AGAIN_US) ask(g, 0);
+	if (now - g->ticket_sent_us >= TICKET_RESEND_US) submit_ticket(g, 0);
 }
 
-static int64_t wake_us(const struct gen *g)
+static int64_t next_wake_us(const struct gen *g)
 {
 	int64_t now = clock_us();
 
 	if (g->state == GEN_RUNNING)
 		return now + (g->stream ? STREAM_WAKE_US : RUNNING_CHECK_US);
-	if (g->deadline_us < now + CHECK_US) return g->deadline_us;
-	return now + CHECK_US;
+	if (g->deadline_us < now + CALLER_CHECK_US) return g->deadline_us;
+	return now + CALLER_CHECK_US;
 }
 
 static void run(struct gen *g)
 {
-	g->checked_us = clock_us();
+	g->caller_checked_us = clock_us();
 	if (g->id[0]) {
-		start(g, 1);
+		start_exchange(g, 1);
 		gen_adopt(g);
 	} else {
-		ask(g, 0);
+		submit_ticket(g, 0);
 	}
-	while (g->state != GEN_OVER) {
-		take_all(g, req_wait(g->req, wake_us(g)));
-		if (g->state != GEN_OVER) check_times(g);
+	while (g->state != GEN_DONE) {
+		handle_messages(g, req_wait(g->req, next_wake_us(g)));
+		if (g->state != GEN_DONE) check_times(g);
 	}
 }
 
@@ -295,8 +299,8 @@
 	struct req_msg *m;
 
 	if (g->req) {
-		/* A grant that crossed the end is handed back. */
-		for (m = req_wait(g->req, 0); m; m = req_wait(g->req, 0)) take_all(g, m);
+		/* Returns a grant that arrived after the request ended. */
+		for (m = req_wait(g->req, 0); m; m = req_wait(g->req, 0)) handle_messages(g, m);
 		req_close(g->req);
 	}
 	if (g->text) g_string_free(g->text, TRUE);
@@ -313,16 +317,16 @@
 	if (node_lapsed()) {
 		g_free(g);
 		return http_refuse(c, REF_DRAINING, STEP_ADMIT, 100,
-				   "this instance is leaving; ask where again");
+				   "this instance is draining; ask /v1/where for another");
 	}
-	if (gen_read(g, c, chat)) {
+	if (gen_read_request(g, c, chat)) {
 		gen_free(g);
 		return 200;
 	}
 	g->req = req_new((uint32_t)node.cfg.requests);
 	if (g->req) {
 		g->text = g_string_new(NULL);
-		gen_sink(g);
+		gen_create_sink(g);
 		run(g);
 	} else {
 		http_refuse(c, REF_BUSY, STEP_ADMIT, RETRY_DEFAULT_MS, "this instance is full");
--- a/src/node/gen_read.c
+++ b/src/node/gen_read.c
@@ -1,18 +1,18 @@
-/* Reading a completion request: who asks, for which service, and whether it may. */
+/* Parses a completion request, authenticates the group and checks that it may use the model. */
 #include "clock.h"
 #include "gen.h"
 #include "node.h"
 #include "hash.h"
 #include <string.h>
 
-#define BYTES_PER_TOKEN 4 /* an estimate, put right by what the engine reports */
+#define BYTES_PER_TOKEN 4 /* an estimate, corrected by what the engine reports */
 
 static int refuse(struct gen *g, enum refusal why, enum step step, const char *text)
 {
 	return http_refuse(g->conn, why, step, 0, text);
 }
 
-static int find_group(struct gen *g)
+static int authenticate(struct gen *g)
 {
 	const char *key = http_bearer(g->conn);
 
@@ -39,7 +39,7 @@
 	return 0;
 }
 
-static uint32_t tokens_of(json_object *v)
+static uint32_t estimate_tokens(json_object *v)
 {
 	return (uint32_t)(strlen(json_object_to_json_string_ext(v, JSON_C_TO_STRING_PLAIN)) /
 			  BYTES_PER_TOKEN) +
@@ -59,7 +59,7 @@
 		   !json_object_is_type(v, json_type_string)) {
 		return refuse(g, REF_BAD_REQUEST, STEP_PARSE, "\"prompt\" must be a string");
 	}
-	g->prompt_tokens = tokens_of(v);
+	g->prompt_tokens = estimate_tokens(v);
 	return 0;
 }
 
@@ -86,39 +86,40 @@
 
 static int read_body(struct gen *g)
 {
-	enum json_tokener_error why_json;
+	enum json_tokener_error parse_error;
 	enum refusal why;
 	size_t len;
 	char *text = http_body(g->conn, (size_t)node.cfg.body_bytes, &len, &why);
 
 	if (!text) return refuse(g, why, STEP_PARSE, "the body is too large or broke off");
 	if (memchr(text, 0, len)) len = 0;
-	g->body = len ? json_tokener_parse_verbose(text, &why_json) : NULL;
+	g->body = len ? json_tokener_parse_verbose(text, &parse_error) : NULL;
 	g_free(text);
 	if (!g->body || !json_object_is_type(g->body, json_type_object))
 		return refuse(g, REF_BAD_JSON, STEP_PARSE, "the body is not a JSON object");
 	return 0;
 }
 
-/* A reader that comes back names the last event it saw; the same generation goes on. */
-static int read_resume(struct gen *g, const char *last)
+/* A reader that reconnects sends the id of the last event it received; its generation resumes
+ * after that event. */
+static int read_resume(struct gen *g, const char *last_event)
 {
 	struct event_id id;
 
-	if (event_id_read(last, g->group->name, &id))
+	if (event_id_read(last_event, g->group->name, &id))
 		return refuse(g, REF_BAD_EVENT_ID, STEP_PARSE,
 			      "Last-Event-ID is not one that this group was given");
 	strcpy(g->engine, id.engine);
 	strcpy(g->id, id.gen);
 	g->engine_id = hash_name(id.engine);
-	g->resume_at = id.offset + 1;
+	g->resume_offset = id.offset + 1;
 	g->stream = 1;
 	return 0;
 }
 
-int gen_read(struct gen *g, struct mg_connection *c, int chat)
+int gen_read_request(struct gen *g, struct mg_connection *c, int chat)
 {
-	const char *last = mg_get_header(c, "Last-Event-ID");
+	const char *last_event = mg_get_header(c, "Last-Event-ID");
 
 	g->conn = c;
 	g->caller.fd = -1;
@@ -126,13 +127,13 @@
 	g->arrived_us = clock_us();
 	if (strcmp(mg_get_request_info(c)->request_method, "POST"))
 		return refuse(g, REF_METHOD, STEP_PARSE, "only POST is served here");
-	if (find_group(g)) return -1;
+	if (authenticate(g)) return -1;
 	g->deadline_us = g->arrived_us + (int64_t)g->group->deadline_ms * 1000;
 	if (read_body(g) || read_fields(g)) return -1;
-	return last ? read_resume(g, last) : 0;
+	return last_event ? read_resume(g, last_event) : 0;
 }
 
-/* What the caller sent, with what saddlehead decides put in. */
+/* The caller's body with the fields that saddlehead sets: stream, request_id and priority. */
 char *gen_engine_body(struct gen *g)
 {
 	json_object_object_add(g->body, "stream", json_object_new_boolean(1));
--- a/src/node/gen_reader.c
+++ b/src/node/gen_reader.c
@@ -1,4 +1,4 @@
-/* A generation's way to the reader, streamed or gathered. */
+/* Output of a generation to the reader, as a stream or as one answer. */
 #include "clock.h"
 #include "gen.h"
 #include "jsonw.h"
@@ -8,19 +8,18 @@
 #include <poll.h>
 #include <string.h>
 
-#define SLOW_READER_US 20000000 /* one that takes nothing for so long has left */
+#define SLOW_READER_US 20000000 /* a reader that accepts nothing for this long is gone */
 #define POLL_MS 1000
 
-void gen_sink(struct gen *g)
+void gen_create_sink(struct gen *g)
 {
 	g->sink = sink_new(g->met, g->arrived_us);
-	g->sink->next = g->resume_at;
+	g->sink->next = g->resume_offset;
 	if (g->stream) g->sink->fd = caller_fd(&g->caller, g->conn);
 	req_set_sink(g->req, g->sink, g->stream);
 }
 
-/* From now on the tokens of this attempt are the ones that count. */
-void gen_attach(struct gen *g, uint32_t attempt)
+void gen_attach_sink(struct gen *g, uint32_t attempt)
 {
 	struct sink *s = req_lock_sink(g->req);
 	char extra[128];
@@ -33,23 +32,23 @@
 	req_unlock_sink(g->req);
 }
 
-void gen_detach(struct gen *g)
+void gen_detach_sink(struct gen *g)
 {
 	req_lock_sink(g->req)->attempt = 0;
 	req_unlock_sink(g->req);
 }
 
-uint32_t gen_next(struct gen *g)
+uint32_t gen_next_offset(struct gen *g)
 {
 	uint32_t next;
 
-	if (!g->sink) return g->resume_at;
+	if (!g->sink) return g->resume_offset;
 	next = req_lock_sink(g->req)->next;
 	req_unlock_sink(g->req);
 	return next;
 }
 
-static const char *member_text(json_object *o, const char *key)
+static const char *string_field(json_object *o, const char *key)
 {
 	json_object *v;
 
@@ -57,37 +56,39 @@
 	return json_object_is_type(v, json_type_string) ? json_object_get_string(v) : NULL;
 }
 
-/* Takes the text out of {"choices":[{"text":..}]} or {"choices":[{"delta":{"content":..}}]}. */
-static void gather(struct gen *g, const char *data)
+/* Appends the text of {"choices":[{"text":..}]} or {"choices":[{"delta":{"content":..}}]}. */
+static void append_text(struct gen *g, const char *data)
 {
 	json_object *root = json_tokener_parse(data), *list, *first, *delta;
-	const char *text, *finish;
+	const char *text, *finish_reason;
 
 	if (root && json_object_object_get_ex(root, "choices", &list) &&
 	    (first = json_object_array_get_idx(list, 0))) {
-		text = member_text(first, "text");
+		text = string_field(first, "text");
 		if (!text && json_object_object_get_ex(first, "delta", &delta))
-			text = member_text(delta, "content");
+			text = string_field(delta, "content");
 		if (text) g_string_append(g->text, text);
-		finish = member_text(first, "finish_reason");
-		if (finish) g_strlcpy(g->finish, finish, sizeof g->finish);
+		finish_reason = string_field(first, "finish_reason");
+		if (finish_reason)
+			g_strlcpy(g->finish_reason, finish_reason, sizeof g->finish_reason);
 	}
 	json_object_put(root);
 }
 
-/* A token that came as a message: of a whole answer, or where the socket isn't known. */
-void gen_token(struct gen *g, const struct req_msg *m)
+/* Adds a token that arrived as a message, because the answer is not streamed or the socket of
+ * the reader was not found. */
+void gen_add_token(struct gen *g, const struct req_msg *m)
 {
 	struct sink *s = req_lock_sink(g->req);
 
-	sink_count(s, m->u.token.offset, m->u.token.at_us);
-	if (g->stream) sink_add(s, m->u.token.offset, m->data, m->len);
+	sink_count_token(s, m->u.token.offset, m->u.token.at_us);
+	if (g->stream) sink_add_event(s, m->u.token.offset, m->data, m->len);
 	req_unlock_sink(g->req);
-	if (!g->stream) gather(g, m->data);
+	if (!g->stream) append_text(g, m->data);
 }
 
-/* Without a socket of its own, the sink's bytes go through CivetWeb. */
-static int flush_by_server(struct gen *g)
+/* Writes through CivetWeb when the socket of the reader was not found. */
+static int flush_via_civetweb(struct gen *g)
 {
 	struct sink *s = g->sink;
 	int n = (int)s->out->len, rc = mg_write(g->conn, s->out->str, s->out->len);
@@ -96,32 +97,31 @@
 	return rc == n ? 0 : -1;
 }
 
-/* Waits until the reader has taken everything. */
 int gen_flush(struct gen *g)
 {
 	struct pollfd p = {.fd = g->sink->fd, .events = POLLOUT};
-	int64_t moved = clock_us();
+	int64_t progress_us = clock_us();
 	gsize before;
 	int rc;
 
 	if (!g->stream || (g->sink->fd < 0 && !g->sink->out->len)) return 0;
-	if (g->sink->fd < 0) return flush_by_server(g);
+	if (g->sink->fd < 0) return flush_via_civetweb(g);
 	for (;;) {
 		req_lock_sink(g->req);
 		before = g->sink->out->len;
 		rc = sink_write(g->sink);
-		if (g->sink->out->len < before) moved = clock_us();
-		if (!rc) g->sink->called = 0;
+		if (g->sink->out->len < before) progress_us = clock_us();
+		if (!rc) g->sink->reader_blocked = 0;
 		req_unlock_sink(g->req);
 		if (rc != -EAGAIN) return rc ? -1 : 0;
-		if (clock_us() - moved > SLOW_READER_US) return -1;
+		if (clock_us() - progress_us > SLOW_READER_US) return -1;
 		poll(&p, 1, POLL_MS);
 	}
 }
 
-static void whole_json(struct gen *g, GString *s)
+static void format_answer(struct gen *g, GString *s)
 {
-	uint32_t n = g->sink->taken;
+	uint32_t n = g->sink->received;
 
 	g_string_append(s, "{\"id\":");
 	jsonw_str(s, g->id);
@@ -134,7 +134,7 @@
 	jsonw_strn(s, g->text->str, g->text->len);
 	g_string_append(s, g->chat ? "}" : "");
 	g_string_append(s, ",\"finish_reason\":");
-	jsonw_str(s, g->finish[0] ? g->finish : "stop");
+	jsonw_str(s, g->finish_reason[0] ? g->finish_reason : "stop");
 	g_string_append_printf(s,
 			       "}],\"usage\":{\"prompt_tokens\":%u,\"completion_tokens\":%u,"
 			       "\"total_tokens\":%u}}",
@@ -145,8 +145,8 @@
 {
 	struct sink *s = req_lock_sink(g->req);
 
-	sink_add_text(s, last, strlen(last));
-	sink_add_end(s);
+	sink_add_chunk(s, last, strlen(last));
+	sink_add_last_chunk(s);
 	req_unlock_sink(g->req);
 }
 
@@ -161,20 +161,19 @@
 		return gen_flush(g);
 	}
 	s = g_string_new(NULL);
-	whole_json(g, s);
+	format_answer(g, s);
 	http_send(g->conn, 200, "application/json", s->str, s->len, NULL);
 	g_string_free(s, TRUE);
 	return 0;
 }
 
-/* The final answer of a request that is given up on, at once. */
-void gen_give_up(struct gen *g, const struct http_error *e)
+void gen_fail(struct gen *g, const struct http_error *e)
 {
 	GString *s;
 
-	log_write(G_LOG_LEVEL_DEBUG, "front", g->group->name, g->id, g->engine, "Gives up: %s.",
-		  e->err.text);
-	gen_detach(g);
+	log_write(G_LOG_LEVEL_DEBUG, "front", g->group->name, g->id, g->engine,
+		  "Request failed: %s.", e->err.text);
+	gen_detach_sink(g);
 	if (!g->sink->started) {
 		http_error(g->conn, e);
 		return;
--- a/src/node/gen_ticket.c
+++ b/src/node/gen_ticket.c
@@ -1,4 +1,4 @@
-/* A generation's ticket: asking a keeper, telling it the end, following it when it moves. */
+/* The ticket of a generation: sent to a keeper, moved to another one, and ended. */
 #include "clock.h"
 #include "digest.h"
 #include "gen.h"
@@ -10,13 +10,14 @@
 	req_set_keeper(g->req, keeper);
 }
 
-static void send_ref(struct gen *g, enum wire_type type, int failed)
+/* Sends the end or withdrawal of the ticket to its keeper, and forgets the keeper. */
+static void send_end(struct gen *g, enum wire_type type, int failed)
 {
 	struct wire_msg m = {.type = type};
 
 	if (!g->keeper) return;
 	m.u.done.request = req_handle(g->req);
-	m.u.done.generated = gen_next(g);
+	m.u.done.generated = gen_next_offset(g);
 	m.u.done.failed = (uint32_t)failed;
 	ticket_send(g->keeper, &m);
 	set_keeper(g, 0);
@@ -33,16 +34,15 @@
 		.service = g->service->id,
 		.engine = g->engine_id,
 		.prompt_tokens = g->prompt_tokens,
-		.generated = gen_next(g),
+		.generated = gen_next_offset(g),
 		.age_us = now - g->arrived_us,
 		.left_us = g->deadline_us - now,
 	};
-	g->asked_us = now;
+	g->ticket_sent_us = now;
 	ticket_send(g->keeper, &m);
 }
 
-/* Sends the ticket to a keeper, or again to the one that has it. -1 when there is none. */
-int gen_ask(struct gen *g, uint64_t avoid)
+int gen_send_ticket(struct gen *g, uint64_t avoid)
 {
 	struct view *v = view_get();
 
@@ -56,7 +56,6 @@
 	return 0;
 }
 
-/* Tells the engine's keeper of a generation that runs already. */
 void gen_adopt(struct gen *g)
 {
 	struct view *v = view_get();
@@ -71,16 +70,15 @@
 
 void gen_release(struct gen *g)
 {
-	send_ref(g, g->state == GEN_WAITING ? WIRE_WITHDRAW : WIRE_DONE, 0);
+	send_end(g, g->state == GEN_WAITING ? WIRE_WITHDRAW : WIRE_DONE, 0);
 }
 
 void gen_release_failed(struct gen *g)
 {
-	send_ref(g, WIRE_DONE, 1);
+	send_end(g, WIRE_DONE, 1);
 }
 
-/* Members or engines changed. */
-void gen_recheck(struct gen *g)
+void gen_check_keeper(struct gen *g)
 {
 	struct view *v;
 	int alive;
@@ -96,5 +94,5 @@
 	if (alive) return;
 	met_retried(RETRY_KEEPER_LOST);
 	set_keeper(g, 0);
-	gen_ask(g, 0);
+	gen_send_ticket(g, 0);
 }
--- a/src/node/keeper.c
+++ b/src/node/keeper.c
@@ -1,4 +1,4 @@
-/* The keeper thread: runs the decision core for the engines that are kept here. */
+/* The keeper thread: runs the decision core for the engines whose keeper is this instance. */
 #include "clock.h"
 #include "digest.h"
 #include "eng.h"
@@ -17,11 +17,11 @@
 #include <urcu.h>
 
 #define RING_CAP 16384
-#define TAKE_MAX 256
+#define BATCH_MAX 256 /* messages taken from the ring at once */
 #define TICK_US 20000
-#define UNHEARD_US 5000000 /* a running ticket is asked after so long */
+#define TICKET_CHECK_US 5000000 /* time without a message until a running ticket is checked */
 
-enum kmsg_type { K_WIRE, K_LOAD, K_LOST, K_VIEW };
+enum kmsg_type { KMSG_WIRE, KMSG_LOAD, KMSG_ENGINE_LOST, KMSG_VIEW };
 
 struct kmsg {
 	enum kmsg_type type;
@@ -33,7 +33,7 @@
 	} u;
 };
 
-struct kept {
+struct kept_engine {
 	uint64_t id;
 	struct eng_watch *watch;
 	int64_t since_us;
@@ -44,50 +44,50 @@
 	struct ring ring;
 	pthread_t thread;
 	struct core *core;
-	GHashTable *kept;    /* engine id -> struct kept */
-	GHashTable *entries; /* members that were seen alive */
-	uint64_t table_version;
-	uint32_t keepers;
-	uint64_t members_sum;
-	atomic_int view_pending;
-	int64_t tick_us;
-} k;
+	GHashTable *kept;        /* engine id -> struct kept_engine */
+	GHashTable *entries;     /* ids of the members in the view */
+	uint64_t table_version;  /* of the table in the core; 0: it is set anew */
+	uint32_t keepers;        /* number of keepers in the view */
+	uint64_t members_hash;   /* of the set of live members */
+	atomic_int view_pending; /* a KMSG_VIEW is in the ring */
+	int64_t tick_us;         /* when the next tick is due */
+} keeper;
 
 static int push(const struct kmsg *m)
 {
 	struct kmsg *c = g_memdup2(m, sizeof *m);
 
-	if (!ring_push(&k.ring, c)) return 0;
+	if (!ring_push(&keeper.ring, c)) return 0;
 	g_free(c);
 	return -EAGAIN;
 }
 
 int keeper_post(const struct wire_msg *m, uint64_t from)
 {
-	struct kmsg c = {.type = K_WIRE, .from = from, .u.wire = *m};
+	struct kmsg c = {.type = KMSG_WIRE, .from = from, .u.wire = *m};
 
 	return push(&c);
 }
 
 static void keeper_view_changed(void *arg)
 {
-	struct kmsg m = {.type = K_VIEW};
+	struct kmsg m = {.type = KMSG_VIEW};
 
 	(void)arg;
-	if (atomic_exchange(&k.view_pending, 1)) return;
-	if (push(&m)) k.view_pending = 0;
+	if (atomic_exchange(&keeper.view_pending, 1)) return;
+	if (push(&m)) keeper.view_pending = 0;
 }
 
 static void on_load(const struct core_load *l)
 {
-	struct kmsg m = {.type = K_LOAD, .u.load = *l};
+	struct kmsg m = {.type = KMSG_LOAD, .u.load = *l};
 
 	push(&m);
 }
 
-static void on_lost(uint64_t engine)
+static void on_engine_lost(uint64_t engine)
 {
-	struct kmsg m = {.type = K_LOST, .u.lost = engine};
+	struct kmsg m = {.type = KMSG_ENGINE_LOST, .u.lost = engine};
 
 	push(&m);
 }
@@ -95,10 +95,10 @@
 static void step(struct core_event *ev)
 {
 	ev->now_us = clock_us();
-	core_step(k.core, ev);
+	core_step(keeper.core, ev);
 }
 
-static void take_ticket(const struct wire_msg *w, uint64_t from)
+static void handle_ticket(const struct wire_msg *w, uint64_t from)
 {
 	struct core_event ev = {.type = CORE_EV_TICKET};
 	struct core_ticket_info *t = &ev.u.ticket;
@@ -115,18 +115,18 @@
 	t->arrived_us = now - w->u.ticket.age_us;
 	t->deadline_us = now + w->u.ticket.left_us;
 	step(&ev);
-	shares_ask_soon(k.core, t->group, now);
+	shares_request_if_due(keeper.core, t->group, now);
 }
 
-static void take_wire(const struct wire_msg *w, uint64_t from)
+static void handle_wire(const struct wire_msg *w, uint64_t from)
 {
 	struct core_event ev = {.type = CORE_EV_DONE};
 
 	switch (w->type) {
 	case WIRE_TICKET:
-	case WIRE_ADOPT: take_ticket(w, from); return;
+	case WIRE_ADOPT: handle_ticket(w, from); return;
 	case WIRE_SHARE_ASK:
-	case WIRE_SHARE: shares_take(k.core, w, from, clock_us()); return;
+	case WIRE_SHARE: shares_receive(keeper.core, w, from, clock_us()); return;
 	case WIRE_WITHDRAW: ev.type = CORE_EV_WITHDRAW; /* fallthrough */
 	case WIRE_DONE:
 		if (w->u.done.generated == WIRE_UNKNOWN) ev.type = CORE_EV_FORGET;
@@ -139,45 +139,46 @@
 	}
 }
 
-/* For a moment after an engine came here, entries tell what runs on it: no grants yet. */
-static void take_load(const struct core_load *l)
+/* Loads are ignored for grace_ms after this instance became the keeper: entries first report
+ * what runs on the engine, and until then nothing is granted. */
+static void handle_load(const struct core_load *l)
 {
 	struct core_event ev = {.type = CORE_EV_LOAD, .u.load = *l};
-	struct kept *e = g_hash_table_lookup(k.kept, &l->engine);
+	struct kept_engine *e = g_hash_table_lookup(keeper.kept, &l->engine);
 
 	if (!e || clock_us() - e->since_us < node.cfg.grace_ms * 1000) return;
 	step(&ev);
 }
 
-static void take_lost(uint64_t engine)
+static void handle_engine_lost(uint64_t engine)
 {
 	struct core_event ev = {.type = CORE_EV_DOUBT, .u.doubt = engine};
 
 	step(&ev);
 }
 
-static void kept_free(void *p)
+static void kept_engine_free(void *p)
 {
-	struct kept *e = p;
+	struct kept_engine *e = p;
 
 	eng_watch_free(e->watch);
 	g_free(e);
 }
 
-static void keep(const struct backend *b)
+static void keep_engine(const struct backend *b)
 {
 	struct core_event ev = {.type = CORE_EV_ENGINE};
-	struct kept *e = g_hash_table_lookup(k.kept, &b->id);
+	struct kept_engine *e = g_hash_table_lookup(keeper.kept, &b->id);
 
 	if (!e) {
-		e = g_new0(struct kept, 1);
+		e = g_new0(struct kept_engine, 1);
 		e->id = b->id;
 		e->since_us = clock_us();
-		e->watch = eng_watch_new(node.engines, b->address, on_load, on_lost,
+		e->watch = eng_watch_new(node.engines, b->address, on_load, on_engine_lost,
 					 node.cfg.silent_ms * 1000);
-		g_hash_table_insert(k.kept, &e->id, e);
+		g_hash_table_insert(keeper.kept, &e->id, e);
 		log_write(G_LOG_LEVEL_INFO, "keeper", NULL, NULL, b->address,
-			  "Keeps an engine.");
+			  "Became the keeper of this engine.");
 	}
 	e->seen = 1;
 	ev.u.engine.id = b->id;
@@ -187,10 +188,10 @@
 	step(&ev);
 }
 
-static gboolean drop_unseen(gpointer key, gpointer value, gpointer user)
+static gboolean remove_unseen_engine(gpointer key, gpointer value, gpointer user)
 {
 	struct core_event ev = {.type = CORE_EV_ENGINE_GONE};
-	struct kept *e = value;
+	struct kept_engine *e = value;
 
 	(void)key;
 	(void)user;
@@ -208,23 +209,23 @@
 	gpointer e;
 	uint32_t i;
 
-	g_hash_table_iter_init(&it, k.kept);
-	while (g_hash_table_iter_next(&it, NULL, &e)) ((struct kept *)e)->seen = 0;
+	g_hash_table_iter_init(&it, keeper.kept);
+	while (g_hash_table_iter_next(&it, NULL, &e)) ((struct kept_engine *)e)->seen = 0;
 	for (i = 0; i < v->nbackends; i++) {
 		b = &v->backend[i];
 		if (b->kind != BACKEND_ENGINE) continue;
 		if (b->keeper) g_hash_table_add(keepers, (gpointer)&b->keeper);
-		if (b->keeper == node.self.id) keep(b);
+		if (b->keeper == node.self.id) keep_engine(b);
 	}
-	g_hash_table_foreach_remove(k.kept, drop_unseen, NULL);
-	if (k.keepers != g_hash_table_size(keepers)) k.table_version = 0;
-	k.keepers = g_hash_table_size(keepers);
-	shares_keepers(k.keepers);
+	g_hash_table_foreach_remove(keeper.kept, remove_unseen_engine, NULL);
+	if (keeper.keepers != g_hash_table_size(keepers)) keeper.table_version = 0;
+	keeper.keepers = g_hash_table_size(keepers);
+	shares_set_keepers(keeper.keepers);
 	g_hash_table_unref(keepers);
-	met_set(MET_G_ENGINES_KEPT, g_hash_table_size(k.kept));
+	met_set(MET_G_ENGINES_KEPT, g_hash_table_size(keeper.kept));
 }
 
-static gboolean entry_gone(gpointer key, gpointer value, gpointer view)
+static gboolean remove_dead_entry(gpointer key, gpointer value, gpointer view)
 {
 	struct core_event ev = {.type = CORE_EV_ENTRY_GONE, .u.entry_gone = *(uint64_t *)key};
 
@@ -240,17 +241,18 @@
 	uint32_t i;
 
 	for (i = 0; i < v->nmembers; i++) {
-		if (g_hash_table_contains(k.entries, &v->member[i].id)) continue;
+		if (g_hash_table_contains(keeper.entries, &v->member[i].id)) continue;
 		id = g_memdup2(&v->member[i].id, sizeof *id);
-		g_hash_table_add(k.entries, id);
+		g_hash_table_add(keeper.entries, id);
 	}
-	g_hash_table_foreach_remove(k.entries, entry_gone, (gpointer)v);
+	g_hash_table_foreach_remove(keeper.entries, remove_dead_entry, (gpointer)v);
 }
 
-/* This keeper's part of a ceiling that holds over all keepers; rounded up, so never 0. */
-static uint32_t part(uint32_t ceiling)
+/* This keeper's part of a ceiling that is divided among all keepers; rounded up, so that a
+ * ceiling above 0 never becomes 0. */
+static uint32_t divide_ceiling(uint32_t ceiling)
 {
-	uint32_t n = k.keepers ? k.keepers : 1;
+	uint32_t n = keeper.keepers ? keeper.keepers : 1;
 
 	return (ceiling + n - 1) / n;
 }
@@ -264,11 +266,11 @@
 	uint32_t i;
 
 	if (!t) return;
-	if (t->version == k.table_version) {
+	if (t->version == keeper.table_version) {
 		tbl_unref(t);
 		return;
 	}
-	shares_table(t);
+	shares_set_table(t);
 	row = g_new0(struct core_group_row, t->ngroups + 1);
 	for (i = 0; i < t->ngroups; i++) {
 		g = &t->group[i];
@@ -277,42 +279,42 @@
 			.weight = g->weight,
 			.ceil_running = g->ceiling.running,
 			.limit_running = shares_limit(g->id, clock_us()),
-			.ceil_waiting = part(g->ceiling.waiting),
-			.ceil_tokens_per_s = part(g->ceiling.tokens_per_s),
-			.floor_running = part(g->floor.running),
+			.ceil_waiting = divide_ceiling(g->ceiling.waiting),
+			.ceil_tokens_per_s = divide_ceiling(g->ceiling.tokens_per_s),
+			.floor_running = divide_ceiling(g->floor.running),
 		};
 	}
 	ev.u.table.row = row;
 	ev.u.table.n = t->ngroups;
 	step(&ev);
-	k.table_version = t->version;
+	keeper.table_version = t->version;
 	g_free(row);
 	tbl_unref(t);
 }
 
-/* Homes move only when the set of members does. */
-static void note_members(const struct view *v)
+/* The homes of shares move only when the set of live members changes. */
+static void update_members(const struct view *v)
 {
-	uint64_t sum = 0;
+	uint64_t hash = 0;
 	uint32_t i;
 
 	for (i = 0; i < v->nmembers; i++)
-		if (v->member[i].state <= MBR_ALIVE) sum += hash_score(1, v->member[i].id);
-	if (sum == k.members_sum) return;
-	k.members_sum = sum;
-	shares_members(clock_us());
+		if (v->member[i].state <= MBR_ALIVE) hash += hash_score(1, v->member[i].id);
+	if (hash == keeper.members_hash) return;
+	keeper.members_hash = hash;
+	shares_members_changed(clock_us());
 }
 
-static void take_view(void)
+static void handle_view(void)
 {
 	struct view *v;
 
-	k.view_pending = 0;
+	keeper.view_pending = 0;
 	v = view_get();
 	if (v) {
 		update_engines(v);
 		update_entries(v);
-		note_members(v);
+		update_members(v);
 		view_unref(v);
 	}
 	update_table();
@@ -340,15 +342,18 @@
 {
 	struct core_order o;
 
-	while (core_next(k.core, &o)) send_order(&o);
+	while (core_next(keeper.core, &o)) send_order(&o);
 }
 
-/* The message of an end may be lost with its link, or with a keeper that was frozen. */
-static void check_unheard(void)
+/* Asks entries about running tickets without a message for a while: the message of an end is
+ * lost when its link breaks or the keeper is suspended. */
+static void check_stale_tickets(void)
 {
 	struct core_ref ref[WIRE_CHECKS_MAX];
 	struct wire_msg m = {.type = WIRE_CHECK};
-	uint32_t i, j, n = core_unheard(k.core, clock_us() - UNHEARD_US, ref, WIRE_CHECKS_MAX);
+	uint32_t i, j,
+		n = core_unheard(keeper.core, clock_us() - TICKET_CHECK_US, ref,
+				 WIRE_CHECKS_MAX);
 
 	for (i = 0; i < n; i++) {
 		if (!ref[i].entry) continue;
@@ -369,43 +374,43 @@
 	uint32_t n;
 
 	step(&ev);
-	k.tick_us = clock_us() + TICK_US;
-	check_unheard();
-	shares_tick(k.core, clock_us());
-	n = core_digests(k.core, clock_us(), d, WIRE_DIGESTS_MAX);
+	keeper.tick_us = clock_us() + TICK_US;
+	check_stale_tickets();
+	shares_tick(keeper.core, clock_us());
+	n = core_digests(keeper.core, clock_us(), d, WIRE_DIGESTS_MAX);
 	digest_set(node.self.id, d, n);
-	met_set(MET_G_WAITING, core_waiting(k.core));
-	met_set(MET_G_RUNNING, core_running(k.core));
+	met_set(MET_G_WAITING, core_waiting(keeper.core));
+	met_set(MET_G_RUNNING, core_running(keeper.core));
 }
 
-static void take(struct kmsg *m)
+static void handle_message(struct kmsg *m)
 {
 	switch (m->type) {
-	case K_WIRE: take_wire(&m->u.wire, m->from); break;
-	case K_LOAD: take_load(&m->u.load); break;
-	case K_LOST: take_lost(m->u.lost); break;
-	case K_VIEW: take_view(); break;
+	case KMSG_WIRE: handle_wire(&m->u.wire, m->from); break;
+	case KMSG_LOAD: handle_load(&m->u.load); break;
+	case KMSG_ENGINE_LOST: handle_engine_lost(m->u.lost); break;
+	case KMSG_VIEW: handle_view(); break;
 	}
 	g_free(m);
 }
 
 static void *run(void *arg)
 {
-	void *item[TAKE_MAX];
+	void *item[BATCH_MAX];
 	uint32_t i, n;
 
 	(void)arg;
 	rcu_register_thread();
 	while (!node.stopping) {
-		n = ring_wait(&k.ring, item, TAKE_MAX, k.tick_us);
+		n = ring_wait(&keeper.ring, item, BATCH_MAX, keeper.tick_us);
 		for (i = 0; i < n; i++) {
-			take(item[i]);
+			handle_message(item[i]);
 			send_orders();
 		}
-		if (clock_us() >= k.tick_us) tick();
+		if (clock_us() >= keeper.tick_us) tick();
 		send_orders();
 	}
-	g_hash_table_unref(k.kept);
+	g_hash_table_unref(keeper.kept);
 	rcu_unregister_thread();
 	return NULL;
 }
@@ -419,22 +424,23 @@
 		.prompt_weight_pc = (uint32_t)node.cfg.prompt_weight_pc,
 	};
 
-	if (ring_init(&k.ring, RING_CAP, 0)) return -ENOMEM;
-	k.core = core_new(&c);
+	if (ring_init(&keeper.ring, RING_CAP, 0)) return -ENOMEM;
+	keeper.core = core_new(&c);
 	shares_init();
-	k.kept = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, kept_free);
-	k.entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-	if (pthread_create(&k.thread, NULL, run, NULL)) return -EAGAIN;
-	pthread_setname_np(k.thread, "keeper");
+	keeper.kept =
+		g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, kept_engine_free);
+	keeper.entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+	if (pthread_create(&keeper.thread, NULL, run, NULL)) return -EAGAIN;
+	pthread_setname_np(keeper.thread, "keeper");
 	view_on_change(keeper_view_changed, NULL);
 	return 0;
 }
 
 void keeper_stop(void)
 {
-	pthread_join(k.thread, NULL);
-	core_free(k.core);
+	pthread_join(keeper.thread, NULL);
+	core_free(keeper.core);
 	shares_free();
-	g_hash_table_unref(k.entries);
-	ring_free(&k.ring);
+	g_hash_table_unref(keeper.entries);
+	ring_free(&keeper.ring);
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -63,7 +63,7 @@
 static void recheck(void *arg)
 {
 	(void)arg;
-	req_post_all(REQ_RECHECK);
+	req_broadcast(REQ_VIEW_CHANGED);
 }
 
 static void declare_docs(void)
--- a/src/node/req.c
+++ b/src/node/req.c
@@ -7,8 +7,8 @@
 #include <pthread.h>
 #include <string.h>
 
-#define TOKENS_MAX 256 /* unread by the request's thread before its exchange pauses */
-#define TOKENS_WAKE 64 /* unread before it is woken */
+#define TOKENS_MAX 256 /* queued tokens at which the exchange pauses */
+#define TOKENS_WAKE 64 /* the same that wake the thread when the answer is not streamed */
 
 struct req {
 	atomic_int refs;
@@ -16,8 +16,8 @@
 	pthread_mutex_t lock;
 	pthread_cond_t ready;
 	struct req_msg *first, **last;
-	uint32_t tokens, urgent; /* messages waiting: tokens, and others */
-	uint32_t wake_at;        /* tokens waiting that wake the request's thread */
+	uint32_t tokens, urgent; /* queued messages: tokens, and all others */
+	uint32_t wake_at;        /* queued tokens at which the request's thread wakes */
 	struct mux *paused_mux;
 	struct mux_xfer *paused;
 	struct sink *sink;
@@ -110,8 +110,8 @@
 	return m;
 }
 
-/* A few tokens alone are left to gather. */
-static int woken(const struct req *r)
+/* Tokens alone wake the thread only from wake_at on. */
+static int should_wake(const struct req *r)
 {
 	return r->urgent || r->tokens >= r->wake_at;
 }
@@ -124,7 +124,7 @@
 		r->tokens++;
 	else
 		r->urgent++;
-	if (woken(r)) pthread_cond_signal(&r->ready);
+	if (should_wake(r)) pthread_cond_signal(&r->ready);
 }
 
 void req_post(struct req *r, struct req_msg *m)
@@ -151,12 +151,13 @@
 	pthread_mutex_unlock(&r->lock);
 }
 
-static int full(const struct req *r)
+static int should_pause(const struct req *r)
 {
 	return r->tokens >= TOKENS_MAX || (r->sink && r->sink->out->len > SINK_OUT_MAX);
 }
 
-int req_token(struct req *r, uint32_t attempt, uint32_t offset, const char *data, uint32_t len)
+int req_add_token(struct req *r, uint32_t attempt, uint32_t offset, const char *data,
+		  uint32_t len)
 {
 	int64_t now = clock_us();
 	struct req_msg *m;
@@ -165,8 +166,8 @@
 	pthread_mutex_lock(&r->lock);
 	if (r->sink && r->sink->fd >= 0) {
 		if (r->sink->attempt == attempt) {
-			sink_count(r->sink, offset, now);
-			sink_add(r->sink, offset, data, len);
+			sink_count_token(r->sink, offset, now);
+			sink_add_event(r->sink, offset, data, len);
 		} else {
 			met_add(MET_ANSWERS_DROPPED, 1);
 		}
@@ -176,21 +177,21 @@
 		m->u.token.at_us = now;
 		append_locked(r, m);
 	}
-	pause = full(r);
+	pause = should_pause(r);
 	pthread_mutex_unlock(&r->lock);
 	return pause;
 }
 
-void req_tokens_end(struct req *r, uint32_t attempt)
+void req_flush_tokens(struct req *r, uint32_t attempt)
 {
 	struct sink *s;
 
 	pthread_mutex_lock(&r->lock);
 	s = r->sink;
 	if (s && s->fd >= 0 && s->attempt == attempt && s->out->len && sink_write(s) &&
-	    !s->called) {
-		s->called = 1;
-		append_locked(r, req_msg_new(REQ_READER, 0, NULL, 0));
+	    !s->reader_blocked) {
+		s->reader_blocked = 1;
+		append_locked(r, req_msg_new(REQ_READER_BLOCKED, 0, NULL, 0));
 	}
 	pthread_mutex_unlock(&r->lock);
 }
@@ -217,19 +218,19 @@
 	r->keeper = keeper;
 }
 
-int req_kept_by(uint64_t handle, uint64_t keeper)
+int req_has_keeper(uint64_t handle, uint64_t keeper)
 {
 	struct req *r;
-	int kept;
+	int held;
 
 	pthread_mutex_lock(&table_lock);
 	r = slot_get(&table, handle);
-	kept = r && r->keeper == keeper;
+	held = r && r->keeper == keeper;
 	pthread_mutex_unlock(&table_lock);
-	return kept;
+	return held;
 }
 
-void req_post_all(enum req_msg_type type)
+void req_broadcast(enum req_msg_type type)
 {
 	uint32_t i;
 
@@ -240,12 +241,12 @@
 	pthread_mutex_unlock(&table_lock);
 }
 
-static int sink_has_room(const struct sink *s)
+static int sink_may_resume(const struct sink *s)
 {
 	return !s || s->out->len <= SINK_OUT_MAX / 2;
 }
 
-/* A full ring leaves it paused: the next req_wait tries again. */
+/* When the ring is full, the exchange stays paused and the next req_wait retries. */
 static void resume(struct req *r, struct mux *mux, struct mux_xfer *x)
 {
 	if (!x) return;
@@ -265,20 +266,20 @@
 	struct req_msg *m;
 
 	pthread_mutex_lock(&r->lock);
-	while (!woken(r))
+	while (!should_wake(r))
 		if (pthread_cond_timedwait(&r->ready, &r->lock, &ts) == ETIMEDOUT) break;
 	m = r->first;
 	r->first = NULL;
 	r->last = &r->first;
 	r->tokens = r->urgent = 0;
-	x = sink_has_room(r->sink) ? r->paused : NULL;
+	x = sink_may_resume(r->sink) ? r->paused : NULL;
 	if (x) r->paused = NULL;
 	pthread_mutex_unlock(&r->lock);
 	resume(r, r->paused_mux, x);
 	return m;
 }
 
-void req_paused(struct req *r, struct mux *m, struct mux_xfer *x)
+void req_set_paused(struct req *r, struct mux *m, struct mux_xfer *x)
 {
 	met_add(MET_PAUSES, 1);
 	mux_xfer_ref(x);
--- a/src/node/shares.c
+++ b/src/node/shares.c
@@ -5,92 +5,95 @@
 #include "view.h"
 #include <string.h>
 
-#define ASK_US 1000000        /* a share is renewed so often */
-#define ASK_BLOCKED_US 100000 /* the same while requests wait for it */
+#define RENEW_US 1000000        /* interval at which a share is renewed */
+#define RENEW_WAITING_US 100000 /* the same while requests wait for a larger share */
 
-struct held {
-	uint64_t group;                /* the key */
-	uint32_t ceiling, share, told; /* told: the limit that the core has */
+struct held_share {
+	uint64_t group;                      /* the key */
+	uint32_t ceiling, share, core_limit; /* core_limit: as last set in the core */
 	uint32_t seq;
-	int64_t asked_us, asked_first_us, until_us;
+	int64_t requested_us, unanswered_since_us, expires_us;
 };
 
 static struct {
 	GHashTable *held, *homes;
-	int64_t members_us;
+	int64_t members_changed_us;
 	uint32_t keepers;
-} sh;
+} shares;
 
 void shares_init(void)
 {
-	sh.held = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	sh.homes = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+	shares.held = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+	shares.homes = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 }
 
 void shares_free(void)
 {
-	g_hash_table_unref(sh.held);
-	g_hash_table_unref(sh.homes);
+	g_hash_table_unref(shares.held);
+	g_hash_table_unref(shares.homes);
 }
 
-static struct held *held_of(uint64_t group)
+static struct held_share *find_held(uint64_t group)
 {
-	return g_hash_table_lookup(sh.held, &group);
+	return g_hash_table_lookup(shares.held, &group);
 }
 
-void shares_table(const struct tbl *t)
+void shares_set_table(const struct tbl *t)
 {
-	struct held *h;
+	struct held_share *h;
 	GHashTableIter it;
 	gpointer p;
 	uint32_t i;
 
-	g_hash_table_iter_init(&it, sh.held);
-	while (g_hash_table_iter_next(&it, NULL, &p)) ((struct held *)p)->ceiling = 0;
+	g_hash_table_iter_init(&it, shares.held);
+	while (g_hash_table_iter_next(&it, NULL, &p)) ((struct held_share *)p)->ceiling = 0;
 	for (i = 0; i < t->ngroups; i++) {
 		if (!t->group[i].ceiling.running) continue;
-		h = held_of(t->group[i].id);
+		h = find_held(t->group[i].id);
 		if (!h) {
-			h = g_new0(struct held, 1);
+			h = g_new0(struct held_share, 1);
 			h->group = t->group[i].id;
-			g_hash_table_insert(sh.held, &h->group, h);
+			g_hash_table_insert(shares.held, &h->group, h);
 		}
 		h->ceiling = t->group[i].ceiling.running;
 	}
 }
 
-void shares_members(int64_t now_us)
+void shares_members_changed(int64_t now_us)
 {
 	GHashTableIter it;
 	gpointer p;
 
-	sh.members_us = now_us;
-	g_hash_table_iter_init(&it, sh.held);
-	while (g_hash_table_iter_next(&it, NULL, &p)) ((struct held *)p)->asked_us = 0;
+	shares.members_changed_us = now_us;
+	g_hash_table_iter_init(&it, shares.held);
+	while (g_hash_table_iter_next(&it, NULL, &p))
+		((struct held_share *)p)->requested_us = 0;
 }
 
-void shares_keepers(uint32_t n)
+void shares_set_keepers(uint32_t n)
 {
-	sh.keepers = n;
+	shares.keepers = n;
 }
 
-/* Nobody has answered for the time of a share: this keeper is cut off, or the home is. */
-static int cut_off(const struct held *h, int64_t now_us)
+/* No answer for the lifetime of a share: this keeper or the home is partitioned. */
+static int partitioned(const struct held_share *h, int64_t now_us)
 {
-	return h->asked_first_us && now_us - h->asked_first_us > SHARE_TTL_HOLDER_US;
+	return h->unanswered_since_us && now_us - h->unanswered_since_us > SHARE_TTL_HOLDER_US;
 }
 
-static uint32_t usable(const struct held *h, int64_t now_us)
+/* The number of requests that may run: the share while it is valid; when partitioned, this
+ * keeper's fixed part of the ceiling; else none. */
+static uint32_t usable_share(const struct held_share *h, int64_t now_us)
 {
-	if (now_us < h->until_us) return h->share < h->ceiling ? h->share : h->ceiling;
-	return cut_off(h, now_us) ? share_part(h->ceiling, sh.keepers) : 0;
+	if (now_us < h->expires_us) return h->share < h->ceiling ? h->share : h->ceiling;
+	return partitioned(h, now_us) ? share_part(h->ceiling, shares.keepers) : 0;
 }
 
 uint32_t shares_limit(uint64_t group, int64_t now_us)
 {
-	const struct held *h = held_of(group);
+	const struct held_share *h = find_held(group);
 
-	return h ? usable(h, now_us) : 0;
+	return h ? usable_share(h, now_us) : 0;
 }
 
 static uint64_t home_of(uint64_t group)
@@ -103,45 +106,46 @@
 	return home ? home : node.self.id;
 }
 
-static void tell_core(struct core *c, struct held *h, int64_t now_us)
+static void report_limit(struct core *c, struct held_share *h, int64_t now_us)
 {
 	struct core_event ev = {.type = CORE_EV_LIMIT, .now_us = now_us};
 
 	ev.u.limit.group = h->group;
-	ev.u.limit.running = usable(h, now_us);
-	if (ev.u.limit.running == h->told) return;
-	h->told = ev.u.limit.running;
+	ev.u.limit.running = usable_share(h, now_us);
+	if (ev.u.limit.running == h->core_limit) return;
+	h->core_limit = ev.u.limit.running;
 	core_step(c, &ev);
 }
 
-static void ask(struct core *c, struct held *h, int64_t now_us)
+static void request_share(struct core *c, struct held_share *h, int64_t now_us)
 {
 	struct wire_msg m = {.type = WIRE_SHARE_ASK};
 	uint64_t home = home_of(h->group);
 
-	h->asked_us = now_us;
-	if (!h->asked_first_us) h->asked_first_us = now_us;
+	h->requested_us = now_us;
+	if (!h->unanswered_since_us) h->unanswered_since_us = now_us;
 	m.u.share.seq = ++h->seq;
 	m.u.share.ask = (struct share_ask){.group = h->group,
-					   .held = usable(h, now_us),
+					   .held = usable_share(h, now_us),
 					   .running = core_group_running(c, h->group)};
 	m.u.share.ask.demand = m.u.share.ask.running + core_group_waiting(c, h->group);
 	if (home == node.self.id)
-		shares_take(c, &m, home, now_us);
+		shares_receive(c, &m, home, now_us);
 	else
 		ticket_send(home, &m);
 }
 
-/* Renewed while there is demand; sooner while requests wait for it. */
-static int due(const struct core *c, const struct held *h, int64_t now_us)
+/* A share is renewed while there is demand, and more often while requests wait for a larger
+ * one. */
+static int request_due(const struct core *c, const struct held_share *h, int64_t now_us)
 {
 	uint32_t running = core_group_running(c, h->group),
 		 waiting = core_group_waiting(c, h->group);
 
 	if (!h->ceiling || !(running + waiting)) return 0;
-	if (waiting && running >= usable(h, now_us))
-		return now_us - h->asked_us >= ASK_BLOCKED_US;
-	return now_us - h->asked_us >= ASK_US;
+	if (waiting && running >= usable_share(h, now_us))
+		return now_us - h->requested_us >= RENEW_WAITING_US;
+	return now_us - h->requested_us >= RENEW_US;
 }
 
 void shares_tick(struct core *c, int64_t now_us)
@@ -149,64 +153,65 @@
 	GHashTableIter it;
 	gpointer p;
 
-	g_hash_table_iter_init(&it, sh.held);
+	g_hash_table_iter_init(&it, shares.held);
 	while (g_hash_table_iter_next(&it, NULL, &p)) {
-		if (due(c, p, now_us)) ask(c, p, now_us);
-		tell_core(c, p, now_us);
+		if (request_due(c, p, now_us)) request_share(c, p, now_us);
+		report_limit(c, p, now_us);
 	}
 }
 
-void shares_ask_soon(struct core *c, uint64_t group, int64_t now_us)
+void shares_request_if_due(struct core *c, uint64_t group, int64_t now_us)
 {
-	struct held *h = held_of(group);
+	struct held_share *h = find_held(group);
 
-	if (h && due(c, h, now_us)) ask(c, h, now_us);
+	if (h && request_due(c, h, now_us)) request_share(c, h, now_us);
 }
 
-static struct share_home *home_here(uint64_t group)
+static struct share_home *local_home(uint64_t group)
 {
-	struct share_home *s = g_hash_table_lookup(sh.homes, &group);
+	struct share_home *s = g_hash_table_lookup(shares.homes, &group);
 
 	if (s) return s;
 	s = g_new0(struct share_home, 1);
 	s->group = group;
-	g_hash_table_insert(sh.homes, &s->group, s);
+	g_hash_table_insert(shares.homes, &s->group, s);
 	return s;
 }
 
-static void answer(struct core *c, const struct wire_msg *in, uint64_t from, int64_t now_us)
+static void handle_request(struct core *c, const struct wire_msg *in, uint64_t from,
+			   int64_t now_us)
 {
 	struct wire_msg m = {.type = WIRE_SHARE};
-	const struct held *h = held_of(in->u.share.ask.group);
+	const struct held_share *h = find_held(in->u.share.ask.group);
 	struct share_home *s;
 
 	if (!h || !h->ceiling) return;
-	s = home_here(h->group);
-	s->born_us = sh.members_us;
+	s = local_home(h->group);
+	s->born_us = shares.members_changed_us;
 	m.u.share.seq = in->u.share.seq;
 	m.u.share.ask.group = h->group;
 	m.u.share.ask.held = share_answer(s, from, &in->u.share.ask, h->ceiling, now_us);
 	if (from == node.self.id)
-		shares_take(c, &m, from, now_us);
+		shares_receive(c, &m, from, now_us);
 	else
 		ticket_send(from, &m);
 }
 
-static void take_share(struct core *c, const struct wire_msg *m, int64_t now_us)
+static void handle_share(struct core *c, const struct wire_msg *m, int64_t now_us)
 {
-	struct held *h = held_of(m->u.share.ask.group);
+	struct held_share *h = find_held(m->u.share.ask.group);
 
 	if (!h || m->u.share.seq != h->seq) return;
 	h->share = m->u.share.ask.held;
-	h->until_us = h->asked_us + SHARE_TTL_HOLDER_US;
-	h->asked_first_us = 0;
-	tell_core(c, h, now_us);
+	h->expires_us = h->requested_us + SHARE_TTL_HOLDER_US;
+	h->unanswered_since_us = 0;
+	report_limit(c, h, now_us);
 }
 
-void shares_take(struct core *c, const struct wire_msg *m, uint64_t from, int64_t now_us)
+void shares_receive(struct core *c, const struct wire_msg *m, uint64_t from, int64_t now_us)
 {
 	if (m->type == WIRE_SHARE_ASK)
-		answer(c, m, from, now_us);
+		handle_request(c, m, from, now_us);
 	else
-		take_share(c, m, now_us);
+		handle_share(c, m, now_us);
 }
--- a/src/node/sink.c
+++ b/src/node/sink.c
@@ -3,7 +3,8 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* A gap above this counts as stall: the reader sees the text stand still. */
+/* The part of a gap between tokens above this counts as stall, as the reader sees the text
+ * stop. */
 #define STALL_GAP_US 250000
 
 struct sink *sink_new(struct met_group *met, int64_t arrived_us)
@@ -26,11 +27,11 @@
 	g_free(s);
 }
 
-void sink_count(struct sink *s, uint32_t offset, int64_t at_us)
+void sink_count_token(struct sink *s, uint32_t offset, int64_t at_us)
 {
 	int64_t gap = at_us - s->last_us;
 
-	if (!s->taken) {
+	if (!s->received) {
 		met_observe(s->met, MET_H_FIRST_TOKEN, at_us - s->arrived_us);
 		s->stall_us = at_us - s->arrived_us;
 	} else {
@@ -39,7 +40,7 @@
 	}
 	s->last_us = at_us;
 	s->next = offset + 1;
-	s->taken++;
+	s->received++;
 	met_add(MET_TOKENS, 1);
 }
 
@@ -54,7 +55,7 @@
 	g_string_append_len(s, buf + i, (gssize)sizeof buf - i);
 }
 
-void sink_add_text(struct sink *s, const char *text, size_t n)
+void sink_add_chunk(struct sink *s, const char *text, size_t n)
 {
 	if (!s->started) {
 		s->started = 1;
@@ -66,7 +67,7 @@
 	g_string_append_len(s->out, "\r\n", 2);
 }
 
-void sink_add(struct sink *s, uint32_t offset, const char *data, uint32_t len)
+void sink_add_event(struct sink *s, uint32_t offset, const char *data, uint32_t len)
 {
 	GString *e = s->event;
 
@@ -80,10 +81,10 @@
 	g_string_append_len(e, "data: ", 6);
 	g_string_append_len(e, data, len);
 	g_string_append_len(e, "\n\n", 2);
-	sink_add_text(s, e->str, e->len);
+	sink_add_chunk(s, e->str, e->len);
 }
 
-void sink_add_end(struct sink *s)
+void sink_add_last_chunk(struct sink *s)
 {
 	g_string_append_len(s->out, "0\r\n\r\n", 5);
 }
@@ -93,7 +94,7 @@
 	size_t at = 0;
 	ssize_t n;
 
-	if (s->broken) return -EPIPE;
+	if (s->reader_gone) return -EPIPE;
 	while (at < s->out->len) {
 		n = send(s->fd, s->out->str + at, s->out->len - at,
 			 MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -107,6 +108,6 @@
 	}
 	g_string_erase(s->out, 0, (gssize)at);
 	if (errno == EAGAIN || errno == EWOULDBLOCK) return -EAGAIN;
-	s->broken = 1;
+	s->reader_gone = 1;
 	return -EPIPE;
 }
--- a/src/node/tickets.c
+++ b/src/node/tickets.c
@@ -1,4 +1,4 @@
-/* Messages of tickets and claims: to whoever they are for, here or elsewhere. */
+/* Routes messages of tickets and claims to their receiver, at this instance or another. */
 #include "claim.h"
 #include "node.h"
 #include "peer.h"
@@ -12,8 +12,9 @@
 	return 0;
 }
 
-/* A grant that finds nobody is handed back, or its place would stay taken. */
-static void hand_back(const struct wire_msg *m, uint64_t from)
+/* Returns a grant whose request is closed; otherwise its slot at the engine would stay
+ * reserved. */
+static void return_grant(const struct wire_msg *m, uint64_t from)
 {
 	struct wire_msg done = {.type = WIRE_DONE};
 
@@ -21,17 +22,17 @@
 	ticket_send(from, &done);
 }
 
-static void grant(const struct wire_msg *m, uint64_t from)
+static void deliver_grant(const struct wire_msg *m, uint64_t from)
 {
 	struct req_msg *r = req_msg_new(REQ_GRANT, 0, NULL, 0);
 
 	r->u.grant.keeper = from;
 	r->u.grant.engine = m->u.grant.engine;
 	r->u.grant.waited_us = m->u.grant.waited_us;
-	if (req_post_to(m->u.grant.request, r)) hand_back(m, from);
+	if (req_post_to(m->u.grant.request, r)) return_grant(m, from);
 }
 
-static void refuse(const struct wire_msg *m, uint64_t from)
+static void deliver_refusal(const struct wire_msg *m, uint64_t from)
 {
 	struct req_msg *r = req_msg_new(REQ_REFUSE, 0, NULL, 0);
 
@@ -41,10 +42,10 @@
 	req_post_to(m->u.refuse.request, r);
 }
 
-static void claimed(const struct wire_msg *m)
+static void deliver_claim_reply(const struct wire_msg *m)
 {
 	struct req_msg *r =
-		req_msg_new(REQ_CLAIMED, 0, m->u.claimed.answer, m->u.claimed.answer_len);
+		req_msg_new(REQ_CLAIM_REPLY, 0, m->u.claimed.answer, m->u.claimed.answer_len);
 
 	r->u.claimed.result = m->u.claimed.result;
 	r->u.claimed.status = (int)m->u.claimed.status;
@@ -52,8 +53,9 @@
 	req_post_to(m->u.claimed.request, r);
 }
 
-/* A keeper asks after requests; those that are over, or with another keeper, it may forget. */
-static void check(const struct wire_msg *m, uint64_t from)
+/* Answers a keeper's check of running tickets: reports those whose request is closed or has
+ * another keeper, so that the keeper drops them. */
+static void answer_check(const struct wire_msg *m, uint64_t from)
 {
 	struct wire_msg done = {.type = WIRE_DONE};
 	uint32_t i;
@@ -61,18 +63,18 @@
 	done.u.done.generated = WIRE_UNKNOWN;
 	for (i = 0; i < m->u.check.n; i++) {
 		done.u.done.request = m->u.check.request[i];
-		if (!req_kept_by(done.u.done.request, from)) ticket_send(from, &done);
+		if (!req_has_keeper(done.u.done.request, from)) ticket_send(from, &done);
 	}
 }
 
 void ticket_deliver(const struct wire_msg *m, uint64_t from)
 {
 	switch (m->type) {
-	case WIRE_GRANT: grant(m, from); return;
-	case WIRE_REFUSE: refuse(m, from); return;
+	case WIRE_GRANT: deliver_grant(m, from); return;
+	case WIRE_REFUSE: deliver_refusal(m, from); return;
 	case WIRE_CLAIM: claims_post(from, m->u.claim.request, &m->u.claim.op); return;
-	case WIRE_CLAIMED: claimed(m); return;
-	case WIRE_CHECK: check(m, from); return;
+	case WIRE_CLAIMED: deliver_claim_reply(m); return;
+	case WIRE_CHECK: answer_check(m, from); return;
 	default: keeper_post(m, from);
 	}
 }
--- a/test/test_bookings.c
+++ b/test/test_bookings.c
@@ -1,4 +1,5 @@
-/* Calls that run at most once, between real processes: repeated, raced, their answers lost. */
+/* Calls that run at most once, against real processes: retried, concurrent, and with lost
+ * answers. */
 #include "fleet_check.h"
 #include <stdio.h>
 #include <string.h>
@@ -30,7 +31,7 @@
 	return n;
 }
 
-static void code_is(json_object *o, const char *code, const char *ran)
+static void expect_error(json_object *o, const char *code, const char *ran)
 {
 	const char *c = json_text_at(o, "error.code");
 
@@ -54,7 +55,7 @@
 		json_object_put(o);
 	}
 	CU_ASSERT_EQUAL(runs(f), 1);
-	code_is(call(f, 0, "same", "{\"slot\":2}", &s), "conflict", "no");
+	expect_error(call(f, 0, "same", "{\"slot\":2}", &s), "conflict", "no");
 	stop(f);
 }
 
@@ -117,14 +118,14 @@
 	long s;
 
 	fleet_fault(f->service[0], "{\"lose_answers\":1}");
-	code_is(call(f, 0, "k", "{}", &s), "engine_failed", "maybe");
-	/* Later repeats, here or elsewhere, are told the same and reach no service. */
-	code_is(call(f, 1, "k", "{}", &s), "may_have_run", "maybe");
+	expect_error(call(f, 0, "k", "{}", &s), "engine_failed", "maybe");
+	/* Later retries, at any daemon, are refused as "maybe run" and reach no service. */
+	expect_error(call(f, 1, "k", "{}", &s), "may_have_run", "maybe");
 	CU_ASSERT_EQUAL(runs(f), 1);
 	stop(f);
 }
 
-/* Refused as "not run" for a moment more, which is told with when to come back. */
+/* Claims are refused for a moment after the store is back, with 503. */
 static int booked(void *f)
 {
 	long s;
@@ -142,7 +143,7 @@
 	long s;
 
 	fleet_fault(f->kv, "{\"down\":1}");
-	code_is(call(f, 0, "k", "{}", &s), "platform_down", "no");
+	expect_error(call(f, 0, "k", "{}", &s), "platform_down", "no");
 	CU_ASSERT_EQUAL(s, 503);
 	CU_ASSERT_EQUAL(runs(f), 0);
 	st = stream_open(f->entry[1], KEY_MEMBERS, STREAM(30), NULL, 0);
--- a/test/test_claims.c
+++ b/test/test_claims.c
@@ -1,4 +1,4 @@
-/* A shard of claims, and the accounts of tickets whose end was never told. */
+/* Claims on calls in a shard. */
 #include "check.h"
 #include "claim_shard.h"
 #include <string.h>
@@ -6,10 +6,10 @@
 #define KEY_A "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
 #define KEY_B "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
 
-static struct claim_shard s;
+static struct claim_shard shard;
 static int64_t now_ms;
 
-static struct claim_op op(enum claim_op_type type, const char *key, const char *attempt)
+static struct claim_op make_op(enum claim_op_type type, const char *key, const char *attempt)
 {
 	struct claim_op o = {.type = type, .body_hash = 7, .ttl_ms = 1000};
 
@@ -22,14 +22,14 @@
 {
 	struct claim_reply r;
 
-	claim_shard_apply(&s, o, now_ms, &r);
+	claim_shard_apply(&shard, o, now_ms, &r);
 	g_free(r.answer);
 	return r.result;
 }
 
-static enum claim_result take(const char *key, const char *attempt)
+static enum claim_result acquire(const char *key, const char *attempt)
 {
-	struct claim_op o = op(CLAIM_OP_TAKE, key, attempt);
+	struct claim_op o = make_op(CLAIM_OP_ACQUIRE, key, attempt);
 
 	return apply(&o);
 }
@@ -37,80 +37,80 @@
 static void one_attempt_gets_it(void)
 {
 	now_ms = 1000;
-	claim_shard_init(&s);
-	CU_ASSERT_EQUAL(take(KEY_A, "1"), CLAIM_TAKEN);
-	CU_ASSERT_EQUAL(take(KEY_A, "1"), CLAIM_TAKEN);
-	CU_ASSERT_EQUAL(take(KEY_A, "2"), CLAIM_RUNNING);
-	CU_ASSERT_EQUAL(take(KEY_B, "3"), CLAIM_TAKEN);
+	claim_shard_init(&shard);
+	CU_ASSERT_EQUAL(acquire(KEY_A, "1"), CLAIM_ACQUIRED);
+	CU_ASSERT_EQUAL(acquire(KEY_A, "1"), CLAIM_ACQUIRED);
+	CU_ASSERT_EQUAL(acquire(KEY_A, "2"), CLAIM_RUNNING);
+	CU_ASSERT_EQUAL(acquire(KEY_B, "3"), CLAIM_ACQUIRED);
 	now_ms += 1000;
-	CU_ASSERT_EQUAL(take(KEY_A, "2"), CLAIM_UNKNOWN);
-	claim_shard_free(&s);
+	CU_ASSERT_EQUAL(acquire(KEY_A, "2"), CLAIM_UNKNOWN);
+	claim_shard_free(&shard);
 }
 
 static void only_its_holder_changes_a_claim(void)
 {
-	struct claim_op o = op(CLAIM_OP_RELEASE, KEY_A, "2");
-
-	claim_shard_init(&s);
-	take(KEY_A, "1");
-	CU_ASSERT_EQUAL(apply(&o), CLAIM_OTHER);
-	CU_ASSERT_EQUAL(take(KEY_A, "3"), CLAIM_RUNNING);
-	o = op(CLAIM_OP_RELEASE, KEY_A, "1");
-	CU_ASSERT_EQUAL(apply(&o), CLAIM_TAKEN);
-	CU_ASSERT_EQUAL(take(KEY_A, "3"), CLAIM_TAKEN);
-	claim_shard_free(&s);
+	struct claim_op o = make_op(CLAIM_OP_RELEASE, KEY_A, "2");
+
+	claim_shard_init(&shard);
+	acquire(KEY_A, "1");
+	CU_ASSERT_EQUAL(apply(&o), CLAIM_CONFLICT);
+	CU_ASSERT_EQUAL(acquire(KEY_A, "3"), CLAIM_RUNNING);
+	o = make_op(CLAIM_OP_RELEASE, KEY_A, "1");
+	CU_ASSERT_EQUAL(apply(&o), CLAIM_ACQUIRED);
+	CU_ASSERT_EQUAL(acquire(KEY_A, "3"), CLAIM_ACQUIRED);
+	claim_shard_free(&shard);
 }
 
 static void another_body_is_refused(void)
 {
-	struct claim_op o = op(CLAIM_OP_TAKE, KEY_A, "2");
+	struct claim_op o = make_op(CLAIM_OP_ACQUIRE, KEY_A, "2");
 
-	claim_shard_init(&s);
-	take(KEY_A, "1");
+	claim_shard_init(&shard);
+	acquire(KEY_A, "1");
 	o.body_hash = 8;
-	CU_ASSERT_EQUAL(apply(&o), CLAIM_OTHER);
-	claim_shard_free(&s);
+	CU_ASSERT_EQUAL(apply(&o), CLAIM_CONFLICT);
+	claim_shard_free(&shard);
 }
 
-/* What is written and read again says the same, also bytes that are no text. */
+/* Formatting and parsing preserves claims, also answers that are not text. */
 static void a_shard_comes_back_the_same(void)
 {
-	struct claim_op o = op(CLAIM_OP_ANSWER, KEY_A, "1");
+	struct claim_op o = make_op(CLAIM_OP_ANSWER, KEY_A, "1");
 	struct claim_reply r;
-	struct claim_shard t;
+	struct claim_shard copy;
 	gsize n, n2;
 	char *text, *again;
 
-	claim_shard_init(&s);
-	claim_shard_init(&t);
-	take(KEY_A, "1");
+	claim_shard_init(&shard);
+	claim_shard_init(&copy);
+	acquire(KEY_A, "1");
 	o.answer = "x\0\"\xff";
 	o.answer_len = 4;
 	o.status = 201;
-	strcpy(o.content, "text/\"plain\"");
-	CU_ASSERT_EQUAL(apply(&o), CLAIM_TAKEN);
-	take(KEY_B, "2");
-	o = op(CLAIM_OP_LOST, KEY_B, "2");
+	strcpy(o.content_type, "text/\"plain\"");
+	CU_ASSERT_EQUAL(apply(&o), CLAIM_ACQUIRED);
+	acquire(KEY_B, "2");
+	o = make_op(CLAIM_OP_LOST, KEY_B, "2");
 	apply(&o);
-	text = claim_shard_write(&s, &n);
-	CU_ASSERT_EQUAL(claim_shard_read(&t, text), 0);
-	CU_ASSERT_EQUAL(t.bytes, s.bytes);
-	again = claim_shard_write(&t, &n2);
+	text = claim_shard_format(&shard, &n);
+	CU_ASSERT_EQUAL(claim_shard_parse(&copy, text), 0);
+	CU_ASSERT_EQUAL(copy.bytes, shard.bytes);
+	again = claim_shard_format(&copy, &n2);
 	CU_ASSERT_EQUAL(n, n2);
 	g_free(again);
-	s = t;
-	o = op(CLAIM_OP_TAKE, KEY_A, "9");
-	claim_shard_apply(&s, &o, now_ms, &r);
+	shard = copy;
+	o = make_op(CLAIM_OP_ACQUIRE, KEY_A, "9");
+	claim_shard_apply(&shard, &o, now_ms, &r);
 	CU_ASSERT_EQUAL(r.result, CLAIM_ANSWERED);
 	CU_ASSERT_EQUAL(r.status, 201);
 	CU_ASSERT_EQUAL(r.answer_len, 4);
 	CU_ASSERT_EQUAL(memcmp(r.answer, "x\0\"\xff", 4), 0);
-	CU_ASSERT_STRING_EQUAL(r.content, "text/\"plain\"");
-	CU_ASSERT_EQUAL(take(KEY_B, "9"), CLAIM_UNKNOWN);
-	CU_ASSERT(claim_shard_read(&s, "[") < 0);
+	CU_ASSERT_STRING_EQUAL(r.content_type, "text/\"plain\"");
+	CU_ASSERT_EQUAL(acquire(KEY_B, "9"), CLAIM_UNKNOWN);
+	CU_ASSERT(claim_shard_parse(&shard, "[") < 0);
 	g_free(r.answer);
 	g_free(text);
-	claim_shard_free(&s);
+	claim_shard_free(&shard);
 }
 
 static void a_full_shard_refuses_and_old_claims_make_room(void)
@@ -119,20 +119,20 @@
 	int i, n = 0;
 
 	now_ms = 1000;
-	claim_shard_init(&s);
+	claim_shard_init(&shard);
 	for (i = 0; i < 100000; i++) {
 		g_snprintf(key, sizeof key, "%040d", i);
-		if (take(key, "1") == CLAIM_FULL) break;
+		if (acquire(key, "1") == CLAIM_FULL) break;
 		n++;
 	}
 	CU_ASSERT(n > 1000 && n < 100000);
-	CU_ASSERT(s.bytes <= CLAIM_SHARD_BYTES_MAX);
-	claim_shard_expire(&s, now_ms + 5000, 10000);
-	CU_ASSERT_EQUAL(take(KEY_A, "1"), CLAIM_FULL);
-	claim_shard_expire(&s, now_ms + 20000, 10000);
-	CU_ASSERT_EQUAL(s.bytes, 0);
-	CU_ASSERT_EQUAL(take(KEY_A, "1"), CLAIM_TAKEN);
-	claim_shard_free(&s);
+	CU_ASSERT(shard.bytes <= CLAIM_SHARD_BYTES_MAX);
+	claim_shard_expire(&shard, now_ms + 5000, 10000);
+	CU_ASSERT_EQUAL(acquire(KEY_A, "1"), CLAIM_FULL);
+	claim_shard_expire(&shard, now_ms + 20000, 10000);
+	CU_ASSERT_EQUAL(shard.bytes, 0);
+	CU_ASSERT_EQUAL(acquire(KEY_A, "1"), CLAIM_ACQUIRED);
+	claim_shard_free(&shard);
 }
 
 static const struct check list[] = {
--- a/test/test_path.c
+++ b/test/test_path.c
@@ -1,4 +1,4 @@
-/* The whole path through real processes: callers, operators, and what each is refused for. */
+/* End-to-end requests of callers and operators against real processes, including refusals. */
 #include "check.h"
 #include "fleet.h"
 #include <signal.h>
@@ -198,7 +198,7 @@
 	json_object_put(o);
 }
 
-/* ------------------------------ operators ------------------------------ */
+/* Requests of operators. */
 
 static json_object *admin(int i, const char *method, const char *path, const char *body,
 			  long *s)
@@ -273,7 +273,7 @@
 	json_object_put(after);
 }
 
-static json_object *put_if(int i, const char *version, const char *body, long *s)
+static json_object *patch_if_match(int i, const char *version, const char *body, long *s)
 {
 	char *match = g_strdup_printf("If-Match: \"%s\"", version);
 	const char *headers[] = {"Authorization: Bearer " ADMIN_KEY, match, NULL};
@@ -294,14 +294,14 @@
 	o = admin(0, "PATCH", "/admin/v1/groups/packing", "{\"weight\":5}", &s);
 	snprintf(version, sizeof version, "%lld", (long long)json_int_at(o, "version"));
 	json_object_put(o);
-	o = put_if(1, version, "{\"weight\":6}", &s);
+	o = patch_if_match(1, version, "{\"weight\":6}", &s);
 	CU_ASSERT_EQUAL(s, 200);
 	json_object_put(o);
-	o = put_if(2, version, "{\"weight\":7}", &s);
+	o = patch_if_match(2, version, "{\"weight\":7}", &s);
 	CU_ASSERT_EQUAL(s, 412);
 	CU_ASSERT_STRING_EQUAL(json_text_at(o, "error.code"), "conflict");
 	json_object_put(o);
-	o = put_if(2, "x", "{\"weight\":7}", &s);
+	o = patch_if_match(2, "x", "{\"weight\":7}", &s);
 	CU_ASSERT_EQUAL(s, 400);
 	json_object_put(o);
 }
@@ -346,8 +346,8 @@
 	return fleet_ended(f, process);
 }
 
-/* Last, as it takes a daemon away: streams of the one that stops come whole, and where drops
- * it. */
+/* Streams through a draining daemon complete, and /v1/where no longer lists it. Runs last, as
+ * the daemon stops. */
 static void a_planned_stop_cuts_nothing(void)
 {
 	struct stream *s[20];
