--- a/src/node/claims.c
+++ b/src/node/claims.c
@@ -19,7 +19,7 @@
 #define BATCH_MAX 512 /* operations taken from the ring at once */
 #define IDLE_US 50000
 #define CONFLICTS_MAX 4      /* compare-and-swap attempts per commit */
-#define BACKOFF_US 500000    /* after the platform failed, claims are refused for so long */
+#define BACKOFF_US 500000    /* after a failed read or write, claims are refused at once */
 #define RETENTION_MS 600000  /* claims older than this are dropped */
 #define CACHE_TTL_US 2000000 /* a shard not written for so long is read again before use */
 
@@ -150,7 +150,8 @@
 	return same ? 0 : -EIO;
 }
 
-/* One attempt at the whole batch: 0, -ECANCELED when somebody else wrote, or another error. */
+/* Tries once to write the batch: 0, -ECANCELED when another home has written, or another error.
+ */
 static int try_commit(struct home *h, const char *key)
 {
 	gsize len;
--- a/src/node/gen.c
+++ b/src/node/gen.c
@@ -135,8 +135,7 @@
 		     STEP_ADMIT, "", "refused before it ran");
 }
 
-/* Starts the generation over, possibly at another engine; nothing of it has reached the reader.
- */
+/* Starts over, possibly at another engine, as no token has reached the reader. */
 static void rerun(struct gen *g, const struct req_msg *m)
 {
 	met_retried(m->u.fail.why);
--- a/src/node/keeper.c
+++ b/src/node/keeper.c
@@ -139,8 +139,8 @@
 	}
 }
 
-/* Loads are ignored for grace_ms after this instance became the keeper: entries first report
- * what runs on the engine, and until then nothing is granted. */
+/* For grace_ms after this instance became the keeper, loads are ignored and so nothing is
+ * granted, while entries report what runs on the engine. */
 static void handle_load(const struct core_load *l)
 {
 	struct core_event ev = {.type = CORE_EV_LOAD, .u.load = *l};
@@ -345,8 +345,8 @@
 	while (core_next(keeper.core, &o)) send_order(&o);
 }
 
-/* Asks entries about running tickets without a message for a while: the message of an end is
- * lost when its link breaks or the keeper is suspended. */
+/* Asks entries about running tickets without a message for a while: the message of an end can
+ * be lost when its link breaks or the keeper is suspended. */
 static void check_stale_tickets(void)
 {
 	struct core_ref ref[WIRE_CHECKS_MAX];
--- a/src/node/sink.c
+++ b/src/node/sink.c
@@ -3,8 +3,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* The part of a gap between tokens above this counts as stall, as the reader sees the text
- * stop. */
+/* A longer gap between tokens is visible to the reader; the excess counts as stall. */
 #define STALL_GAP_US 250000
 
 struct sink *sink_new(struct met_group *met, int64_t arrived_us)
--- a/test/test_bookings.c
+++ b/test/test_bookings.c
@@ -119,13 +119,14 @@
 
 	fleet_fault(f->service[0], "{\"lose_answers\":1}");
 	expect_error(call(f, 0, "k", "{}", &s), "engine_failed", "maybe");
-	/* Later retries, at any daemon, are refused as "maybe run" and reach no service. */
+	/* Later retries, at any daemon, get may_have_run and reach no service. */
 	expect_error(call(f, 1, "k", "{}", &s), "may_have_run", "maybe");
 	CU_ASSERT_EQUAL(runs(f), 1);
 	stop(f);
 }
 
-/* Claims are refused for a moment after the store is back, with 503. */
+/* For a moment after the store is back, calls are still refused with 503: not run, retry later.
+ */
 static int booked(void *f)
 {
 	long s;
