--- a/src/node/call.c
+++ b/src/node/call.c
@@ -279,7 +279,7 @@
 	met_add(MET_CALLS, 1);
 	if (node_lapsed())
 		return refuse(&c, REF_DRAINING, STEP_ADMIT, BUSY_RETRY_MS,
-			      "this instance is draining; ask /v1/where for another");
+			      "this instance is leaving; ask where again");
 	if (!read_call(&c)) {
 		c.req = req_new((uint32_t)node.cfg.requests);
 		if (!c.req)
--- a/src/node/gen.c
+++ b/src/node/gen.c
@@ -67,7 +67,7 @@
 	if (g->xfer) return;
 	gen_release(g);
 	fail_request(g, REF_RING_FULL, RAN_NO, RETRY_DEFAULT_MS, STEP_SEND, g->engine,
-		     "the queue to the engine links is full");
+		     "too much at once");
 }
 
 static void submit_ticket(struct gen *g, uint64_t avoid)
@@ -316,7 +316,7 @@
 	if (node_lapsed()) {
 		g_free(g);
 		return http_refuse(c, REF_DRAINING, STEP_ADMIT, 100,
-				   "this instance is draining; ask /v1/where for another");
+				   "this instance is leaving; ask where again");
 	}
 	if (gen_read_request(g, c, chat)) {
 		gen_free(g);
