--- a/bench/bench_core.c
+++ b/bench/bench_core.c
@@ -192,17 +192,17 @@
 	m.u.ping.ndigests = 2;
 	for (i = 0; i < 2; i++)
 		m.u.ping.digest[i] = (struct core_digest){hash_name("s") + i, 90000, 60, 0};
-	m.u.ping.nnews = 1;
-	m.u.ping.news[0] = (struct mbr_info){.name = "entry-1234",
-					     .dc = "bergen-1",
-					     .ip = "10.20.30.40",
-					     .peer_port = 7000,
-					     .front_port = 8000,
-					     .admin_port = 9000,
-					     .incarnation = 1ull << 41};
+	m.u.ping.nupdates = 1;
+	m.u.ping.updates[0] = (struct mbr_info){.name = "entry-1234",
+						.dc = "bergen-1",
+						.ip = "10.20.30.40",
+						.peer_port = 7000,
+						.front_port = 8000,
+						.admin_port = 9000,
+						.incarnation = 1ull << 41};
 	message("ping_quiet", &m);
-	m.u.ping.nnews = 9;
-	for (i = 1; i < 9; i++) m.u.ping.news[i] = m.u.ping.news[0];
+	m.u.ping.nupdates = 9;
+	for (i = 1; i < 9; i++) m.u.ping.updates[i] = m.u.ping.updates[0];
 	message("ping_full", &m);
 }
 
--- a/src/bench/run.c
+++ b/src/bench/run.c
@@ -58,7 +58,7 @@
 	int i;
 
 	c.path = path;
-	httpc(&c, &a);
+	httpc_perform(&c, &a);
 	o = a.status == 200 ? json_tokener_parse(a.text->str) : NULL;
 	if (o && json_object_object_get_ex(o, "addresses", &list) &&
 	    json_object_object_get_ex(o, "ttl_ms", &ttl)) {
@@ -173,7 +173,7 @@
 
 	for (i = 0; i < l->nengines; i++) {
 		c.address = l->engines[i];
-		httpc(&c, &a);
+		httpc_perform(&c, &a);
 		o = json_tokener_parse(a.text->str);
 		if (o && json_object_object_get_ex(o, "preemptions", &v))
 			n += (uint64_t)json_object_get_int64(v);
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -29,7 +29,7 @@
 			       .body = body,
 			       .if_match = c->if_match};
 
-	httpc(&h, a);
+	httpc_perform(&h, a);
 	if (a->status >= 200 && a->status < 300) return 0;
 	print_error(c->admin, a);
 	return -1;
--- a/src/internal/kv.h
+++ b/src/internal/kv.h
@@ -1,4 +1,4 @@
-/* The platform's key-value service, met through HTTP. Every call counts against a budget. */
+/* Client of the platform's key-value service over HTTP. Every call counts against a budget. */
 #ifndef SH_KV_H
 #define SH_KV_H
 #include "docs.h"
@@ -9,23 +9,25 @@
 struct kv_config {
 	char address[64];
 	int64_t timeout_ms, watch_ms;
-	uint32_t calls_per_s; /* this daemon's part; more are refused with -EBUSY */
+	uint32_t calls_per_s; /* this daemon's call budget; calls over it fail with -EBUSY */
 };
 
 void kv_init(const struct kv_config *cfg);
 
-/* Reads key. 0, -ENOENT, -EBUSY (over budget) or -EIO (no answer). Free *value with g_free. */
+/* Reads key. 0, -ENOENT, -EBUSY (over budget) or -EIO (the call failed). Free *value with
+ * g_free. */
 int kv_get(const char *key, char **value, size_t *len, uint64_t *version, struct err *e);
 
 /*
- * Writes key if its version is still expect (0: if it is not there). 0 and *version set, or
- * -ECANCELED when it is another version, -EBUSY, or -EIO: then it may have been written.
+ * Writes key if its version is still expect (0: if it does not exist). Returns 0 and sets
+ * *version, or -ECANCELED (it has another version), -EBUSY (over budget), -EINVAL (another
+ * status), or -EIO, after which the value may have been written.
  */
 int kv_put(const char *key, const char *value, size_t len, uint64_t expect, uint64_t *version,
 	   struct err *e);
 
-/* An exchange that answers once key is newer than after, or watch_ms later; without wait at
- * once. NULL: no budget. */
+/* Returns an exchange that completes once the version of key is above after, or after
+ * watch_ms; without wait it completes at once. NULL when over budget. */
 struct mux_xfer *kv_watch(const char *key, uint64_t after, int wait);
 
 #endif
--- a/src/internal/peer.h
+++ b/src/internal/peer.h
@@ -1,19 +1,19 @@
-/* Links between daemons: one thread, TCP, a frame of msgpack a message. */
+/* TCP links between daemons, run by one thread; each message is a msgpack frame. */
 #ifndef SH_PEER_H
 #define SH_PEER_H
 #include "err.h"
 #include "wire.h"
 
-/* Listens and fills in the port chosen; then starts the thread. */
+/* peer_listen binds the port and stores the one chosen; peer_start starts the thread. */
 int peer_listen(const char *ip, uint16_t *port, struct err *e);
 int peer_start(const struct mbr_info *self, struct err *e);
 void peer_stop(void);
 
-/* Queues a message; -EAGAIN when the ring is full, counted as dropped. */
+/* Queues a message; -EAGAIN when the ring is full, and the message is counted as dropped. */
 int peer_send(uint64_t member, const struct wire_msg *m);
 
-/* A document is new here: the next heartbeats go out at once, to a few. */
+/* Sends heartbeats to a few members at once, after a document changed here. */
 void peer_docs_changed(void);
-/* Tells the others that this instance is leaving, or (left) is gone. */
+/* Announces to the other members that this instance is leaving. */
 void peer_leave(void);
 #endif
--- a/src/internal/peer_impl.h
+++ b/src/internal/peer_impl.h
@@ -1,4 +1,5 @@
-/* Inside the peer thread: its state belongs to it alone. */
+/* Internals of the peer thread. Apart from the command ring, only that thread uses its state.
+ */
 #ifndef SH_PEER_IMPL_H
 #define SH_PEER_IMPL_H
 #include "peer.h"
@@ -14,11 +15,11 @@
 	struct ring cmds;
 	struct mbr *mbr;
 	GPtrArray *links;
-	GHashTable *by_member; /* the link used for sending */
-	struct mbr_info *list; /* room for a list of members */
-	int64_t beat_us, tick_us, published_us;
-	int dirty; /* members changed since then */
-	uint64_t beats;
+	GHashTable *by_member;    /* the link on which messages to a member are sent */
+	struct mbr_info *members; /* buffer for mbr_list */
+	int64_t next_heartbeat_us, next_tick_us, published_us;
+	int dirty; /* members changed since published_us */
+	uint64_t heartbeats;
 };
 
 extern struct peer_state peer;
@@ -26,23 +27,24 @@
 /* peer.c */
 void peer_publish(void);
 void peer_queue(struct plink *l, const struct wire_msg *m);
-void peer_say_hello(struct plink *l);
-/* A link of its own, which says hello; with a member, the one used for sending. NULL: it can't.
- */
+void peer_send_hello(struct plink *l);
+/* Opens a new link and sends hello on it; with a member, messages to it use this link. NULL
+ * when the connection can't be started. */
 struct plink *peer_dial(const char *ip, uint16_t port, uint64_t member);
-/* Only marks it; it is freed at the end of the turn. */
+/* Marks the link closed; it is freed at the end of the loop iteration. */
 void peer_close(struct plink *l);
 
-/* peer_msg.c: peer_on_msg returns -1 when the link is to be closed. */
+/* peer_msg.c. peer_on_msg returns -1 when the link must be closed. */
 void peer_ping(struct plink *l, uint64_t to, enum wire_type type);
 int peer_on_msg(struct plink *l, struct wire_msg *m);
 
-/* peer_docs.c: what a member told; a question, an answer (-1: the link is to be closed). */
-void peer_docs_told(uint64_t member, const struct wire_ping *p);
-void peer_docs_asked(struct plink *l, const struct wire_msg *m);
-int peer_docs_came(struct plink *l, const struct wire_msg *m);
-/* Whether the link is the one on which documents are fetched. */
-int peer_docs_own(const struct plink *l);
-void peer_docs_closed(const struct plink *l);
+/* peer_docs.c. Handlers of the versions in a heartbeat, a request for a document, and a
+ * received document (-1: the link must be closed). */
+void peer_docs_on_versions(uint64_t member, const struct wire_ping *p);
+void peer_docs_on_get(struct plink *l, const struct wire_msg *m);
+int peer_docs_on_doc(struct plink *l, const struct wire_msg *m);
+/* Whether documents are being fetched on this link. */
+int peer_docs_is_fetch_link(const struct plink *l);
+void peer_docs_on_close(const struct plink *l);
 void peer_docs_tick(int64_t now);
 #endif
--- a/src/internal/peer_link.h
+++ b/src/internal/peer_link.h
@@ -1,4 +1,4 @@
-/* Inside the peer links: one connection, its buffers and its frames. */
+/* One connection between daemons, with its buffers and frames. */
 #ifndef SH_PEER_LINK_H
 #define SH_PEER_LINK_H
 #include "wire.h"
@@ -6,26 +6,26 @@
 
 struct plink {
 	int fd, connecting, outgoing, closed;
-	int differs;      /* the other's list of members is not ours */
-	int full;         /* messages were dropped since all that waited had gone */
-	uint64_t member;  /* 0 until it said hello */
-	int64_t heard_us; /* when bytes came */
-	int64_t copy_us;  /* when a large document was put on it; 0: none was */
+	int lists_differ;     /* the peer's member list differs from ours */
+	int dropping;         /* messages were dropped since the output buffer was last empty */
+	uint64_t member;      /* 0 until its hello arrives */
+	int64_t last_seen_us; /* when bytes last arrived */
+	int64_t doc_queued_us; /* when a large document was last queued; 0: never */
 	GByteArray *in;
 	msgpack_sbuffer out;
 	size_t sent;
-	uint32_t events; /* what epoll waits for */
+	uint32_t events; /* events registered with epoll */
 };
 
 struct plink *plink_new(int fd, int connecting, int64_t now_us);
 void plink_free(struct plink *l);
-/* Starts a connection that does not block; -1 when it can't be. */
+/* Starts a non-blocking connection; -1 on failure. */
 int plink_connect(const char *ip, uint16_t port);
 /* Both return -1 when the link is broken. */
 int plink_flush(struct plink *l);
 int plink_read(struct plink *l, int (*f)(struct plink *l, struct wire_msg *m));
-/* Whether anything is under way to the other that it has not acknowledged. */
+/* Whether data is queued, or sent and not yet acknowledged by the peer's kernel. */
 int plink_sending(const struct plink *l);
-/* Adds a message to what is to be sent; -EAGAIN when too much waits already. */
+/* Appends a message to the output buffer; -EAGAIN when the buffer is full. */
 int plink_queue(struct plink *l, const char *frame, size_t n);
 #endif
--- a/src/internal/wire.h
+++ b/src/internal/wire.h
@@ -1,4 +1,4 @@
-/* Messages between daemons: msgpack arrays behind a four-byte big-endian length. */
+/* Messages between daemons: msgpack arrays, each after a four-byte big-endian length. */
 #ifndef SH_WIRE_H
 #define SH_WIRE_H
 #include "claim.h"
@@ -11,9 +11,9 @@
 #define WIRE_DOCS_MAX 32
 #define WIRE_DIGESTS_MAX 8
 #define WIRE_CHECKS_MAX 64
-#define WIRE_UNKNOWN UINT32_MAX /* tokens generated: nobody can tell */
-#define WIRE_NEWS_MAX (2 + MBR_GOSSIP_MAX + MBR_WINDOW_MAX)
-#define WIRE_FRAME_MAX (2u << 20) /* a document may hold up to a megabyte */
+#define WIRE_UNKNOWN UINT32_MAX /* number of generated tokens is unknown */
+#define WIRE_UPDATES_MAX (2 + MBR_GOSSIP_MAX + MBR_WINDOW_MAX)
+#define WIRE_FRAME_MAX (2u << 20) /* a document may have up to 1 MiB */
 
 enum wire_type {
 	WIRE_HELLO = 1,
@@ -27,9 +27,9 @@
 	WIRE_DONE,
 	WIRE_CLAIM,
 	WIRE_CLAIMED,
-	WIRE_CHECK, /* a keeper: do these requests still run there? */
+	WIRE_CHECK, /* from a keeper: asks whether these requests still run */
 	WIRE_SHARE_ASK,
-	WIRE_SHARE, /* a home's answer: held is the share */
+	WIRE_SHARE, /* reply of the group's home instance; held is the share */
 	WIRE_DOC_GET,
 	WIRE_DOC
 };
@@ -43,12 +43,12 @@
 	uint32_t ndocs;
 	struct core_digest digest[WIRE_DIGESTS_MAX];
 	uint32_t ndigests;
-	struct mbr_info news[WIRE_NEWS_MAX]; /* the sender itself comes first */
-	uint32_t nnews;
-	uint64_t members; /* mbr_hash of the sender */
+	struct mbr_info updates[WIRE_UPDATES_MAX]; /* the sender itself is first */
+	uint32_t nupdates;
+	uint64_t members_hash; /* mbr_hash of the sender */
 };
 
-/* Ages and times left, as clocks differ between instances; microseconds. */
+/* Times are durations in microseconds, because clocks differ between instances. */
 struct wire_ticket {
 	uint64_t request, group, service, engine;
 	uint32_t prompt_tokens, generated;
@@ -57,7 +57,7 @@
 
 struct wire_msg {
 	enum wire_type type;
-	uint64_t from; /* the member it came from: set on receipt, not sent */
+	uint64_t from; /* the sending member: set on receipt, not encoded */
 	union {
 		struct {
 			char key[WIRE_KEY_MAX + 1];
@@ -79,7 +79,7 @@
 		} done; /* also withdraw */
 		struct {
 			uint64_t request;
-			struct claim_op op; /* its answer points into the frame on receipt */
+			struct claim_op op; /* on receipt, its answer points into the frame */
 		} claim;
 		struct {
 			uint64_t request;
@@ -97,18 +97,20 @@
 		} share;
 		struct {
 			uint64_t doc, version;
-			const char *data; /* into the frame on receipt */
+			const char *data; /* on receipt, points into the frame */
 			uint32_t len;
 		} doc; /* also doc_get, without data */
 	} u;
 };
 
-/* Appends the frame, length first. */
+/* Appends the message as a frame with its length. */
 void wire_encode(msgpack_sbuffer *out, const struct wire_msg *m);
 
-/* Whether the lengths inside add up; 0 or -1. wire_decode asks it first. */
+/* Checks that the encoded lengths fit the frame; 0 or -1. wire_decode calls it first. */
 int wire_check(const char *body, size_t len);
 
-/* Reads the frame's body; 0, or -EPROTO when it is not one of these messages. */
-int wire_decode(const char *body, size_t len, struct wire_msg *m, msgpack_unpacked *hold);
+/* Decodes the frame's body; 0, or -EPROTO when it is not a valid message. m may point into
+ * body.
+ */
+int wire_decode(const char *body, size_t len, struct wire_msg *m, msgpack_unpacked *unpacked);
 #endif
--- a/src/link/eng_call.c
+++ b/src/link/eng_call.c
@@ -1,4 +1,4 @@
-/* One call of a plain service: sent once, its whole answer handed to the request's thread. */
+/* A call of a plain service: sent once; its complete response is posted to the request. */
 #include "eng.h"
 #include <errno.h>
 #include <string.h>
@@ -38,7 +38,7 @@
 	c->type[n - k] = 0;
 }
 
-static void fail(struct call *c, CURLcode rc, long status)
+static void post_failure(struct call *c, CURLcode rc, long status)
 {
 	struct req_msg *m = req_msg_new(REQ_FAIL, c->attempt, NULL, 0);
 	struct err *e = &m->u.fail.err;
@@ -67,7 +67,7 @@
 	struct req_msg *m;
 
 	if (rc != CURLE_OK) {
-		fail(c, rc, status);
+		post_failure(c, rc, status);
 		return;
 	}
 	m = req_msg_new(REQ_END, c->attempt, c->answer->str, (uint32_t)c->answer->len);
@@ -87,34 +87,34 @@
 
 static void add_headers(struct mux_xfer *x, const struct eng_call *c)
 {
-	char *head;
+	char *header;
 
 	if (c->type) {
-		head = g_strdup_printf("Content-Type: %s", c->type);
-		mux_xfer_header(x, head);
-		g_free(head);
+		header = g_strdup_printf("Content-Type: %s", c->type);
+		mux_xfer_header(x, header);
+		g_free(header);
 	}
 	if (c->key) {
-		head = g_strdup_printf("Idempotency-Key: %s", c->key);
-		mux_xfer_header(x, head);
-		g_free(head);
+		header = g_strdup_printf("Idempotency-Key: %s", c->key);
+		mux_xfer_header(x, header);
+		g_free(header);
 	}
 }
 
 struct mux_xfer *eng_call(struct mux *m, const struct eng_call *c)
 {
-	struct call *own = g_new0(struct call, 1);
+	struct call *call = g_new0(struct call, 1);
 	char *url = g_strdup_printf("http://%s%s", c->address, c->path);
 	struct mux_xfer *x = mux_xfer_new(url);
 
 	g_free(url);
-	own->req = c->req;
+	call->req = c->req;
 	req_ref(c->req);
-	own->attempt = c->attempt;
-	own->max = c->answer_max;
-	own->answer = g_string_new(NULL);
-	g_strlcpy(own->peer, c->address, sizeof own->peer);
-	x->user = own;
+	call->attempt = c->attempt;
+	call->max = c->answer_max;
+	call->answer = g_string_new(NULL);
+	g_strlcpy(call->peer, c->address, sizeof call->peer);
+	x->user = call;
 	x->on_data = on_data;
 	x->on_header = on_header;
 	x->on_done = on_done;
@@ -122,7 +122,7 @@
 	add_headers(x, c);
 	if (c->body) mux_xfer_post(x, c->body, c->len);
 	curl_easy_setopt(x->easy, CURLOPT_CUSTOMREQUEST, c->method);
-	/* A call is never sent twice by the client library on a connection that went stale. */
+	/* On a reused connection that went stale, libcurl would send the call again. */
 	curl_easy_setopt(x->easy, CURLOPT_FRESH_CONNECT, 1L);
 	curl_easy_setopt(x->easy, CURLOPT_CONNECTTIMEOUT_MS, (long)c->connect_ms);
 	curl_easy_setopt(x->easy, CURLOPT_TIMEOUT_MS, (long)c->timeout_ms);
--- a/src/link/eng_generate.c
+++ b/src/link/eng_generate.c
@@ -1,4 +1,4 @@
-/* One generation's stream from an engine to the request's thread. */
+/* The token stream of one generation, from an engine to the request. */
 #include "eng.h"
 #include "met.h"
 #include <errno.h>
@@ -13,11 +13,11 @@
 	uint32_t attempt, next;
 	int64_t first_byte_us, stall_us;
 	struct sse sse;
-	int accepted, ended, reported, full;
+	int accepted, ended, reported, paused;
 };
 
-static void fail(struct gen *g, int code, enum step step, enum retry why, int sent, long status,
-		 const char *text)
+static void post_failure(struct gen *g, int code, enum step step, enum retry why, int sent,
+			 long status, const char *text)
 {
 	struct req_msg *m;
 
@@ -31,22 +31,22 @@
 	req_post(g->req, m);
 }
 
-/* The id is "GENERATION:OFFSET". Answers of another generation are dropped and counted. */
+/* The id is "GENERATION:OFFSET". Events of another generation are dropped and counted. */
 static int check_id(struct gen *g, const char *id, uint32_t *offset)
 {
 	size_t n = g->id_len;
 
 	if (strncmp(id, g->id, n) || id[n] != ':') {
 		met_add(MET_ANSWERS_DROPPED, 1);
-		fail(g, -EPROTO, STEP_STREAM, RETRY_CROSSED, 1, 0,
-		     "the answer is another request's");
+		post_failure(g, -EPROTO, STEP_STREAM, RETRY_CROSSED, 1, 0,
+			     "the answer belongs to another request");
 		return -1;
 	}
 	*offset = (uint32_t)strtoul(id + n + 1, NULL, 10);
 	return 0;
 }
 
-static int token(struct gen *g, struct sse *s)
+static int on_token(struct gen *g, struct sse *s)
 {
 	uint32_t offset;
 
@@ -56,11 +56,13 @@
 		return 0;
 	}
 	if (offset > g->next) {
-		fail(g, -EPROTO, STEP_STREAM, RETRY_ENGINE_LOST, 1, 0, "tokens are missing");
+		post_failure(g, -EPROTO, STEP_STREAM, RETRY_ENGINE_LOST, 1, 0,
+			     "tokens are missing");
 		return -1;
 	}
 	g->next++;
-	g->full |= req_token(g->req, g->attempt, offset, s->data->str, (uint32_t)s->data->len);
+	g->paused |=
+		req_token(g->req, g->attempt, offset, s->data->str, (uint32_t)s->data->len);
 	return 0;
 }
 
@@ -68,7 +70,7 @@
 {
 	struct gen *g = arg;
 
-	if (s->data->str[0] != '[' || strcmp(s->data->str, "[DONE]")) return token(g, s);
+	if (s->data->str[0] != '[' || strcmp(s->data->str, "[DONE]")) return on_token(g, s);
 	if (s->id[0] && check_id(g, s->id, &(uint32_t){0})) return -1;
 	g->ended = 1;
 	return 0;
@@ -84,18 +86,18 @@
 		if (status != 200) return 0;
 		g->accepted = 1;
 		x->stall_us = g->stall_us;
-		mux_one_way(x);
+		mux_delay_acks(x);
 	}
 	if (sse_feed(&g->sse, p, n, on_event, g)) return -1;
-	if (g->full) {
-		g->full = 0;
+	if (g->paused) {
+		g->paused = 0;
 		req_paused(g->req, g->mux, x);
 		mux_pause(x);
 	}
 	return 0;
 }
 
-static void on_turn(struct mux_xfer *x)
+static void on_batch_end(struct mux_xfer *x)
 {
 	struct gen *g = x->user;
 
@@ -112,14 +114,17 @@
 		return;
 	}
 	if (rc == CURLE_COULDNT_CONNECT || rc == CURLE_COULDNT_RESOLVE_HOST)
-		fail(g, -ECONNREFUSED, STEP_CONNECT, RETRY_CONNECT, 0, 0, "no connection");
+		post_failure(g, -ECONNREFUSED, STEP_CONNECT, RETRY_CONNECT, 0, 0,
+			     "no connection");
 	else if (status && status != 200)
-		fail(g, -EBUSY, STEP_FIRST_BYTE, RETRY_ENGINE_STATUS, 0, status,
-		     "the engine did not take it");
+		post_failure(g, -EBUSY, STEP_FIRST_BYTE, RETRY_ENGINE_STATUS, 0, status,
+			     "the engine refused the request");
 	else if (!status)
-		fail(g, -ETIMEDOUT, STEP_FIRST_BYTE, RETRY_FIRST_BYTE, 1, 0, "no answer");
+		post_failure(g, -ETIMEDOUT, STEP_FIRST_BYTE, RETRY_FIRST_BYTE, 1, 0,
+			     "no answer");
 	else
-		fail(g, -EPIPE, STEP_STREAM, RETRY_ENGINE_LOST, 1, 0, "the stream broke off");
+		post_failure(g, -EPIPE, STEP_STREAM, RETRY_ENGINE_LOST, 1, 0,
+			     "the stream broke off");
 }
 
 static void on_free(struct mux_xfer *x)
@@ -142,7 +147,7 @@
 	g_strlcpy(g->peer, s->address, sizeof g->peer);
 	g->attempt = s->attempt;
 	g->next = s->next;
-	g->stall_us = s->times.stall_ms * 1000;
+	g->stall_us = s->timeouts.stall_ms * 1000;
 	sse_init(&g->sse);
 	return g;
 }
@@ -150,7 +155,7 @@
 static struct mux_xfer *open_xfer(const struct eng_start *s)
 {
 	struct mux_xfer *x;
-	char *url, *head;
+	char *url, *header;
 
 	if (s->body)
 		url = g_strdup_printf("http://%s%s", s->address, s->path);
@@ -160,9 +165,9 @@
 	x = mux_xfer_new(url);
 	g_free(url);
 	mux_xfer_header(x, "Content-Type: application/json");
-	head = g_strdup_printf("X-Request-Id: %s", s->gen);
-	mux_xfer_header(x, head);
-	g_free(head);
+	header = g_strdup_printf("X-Request-Id: %s", s->gen);
+	mux_xfer_header(x, header);
+	g_free(header);
 	if (s->body) mux_xfer_post(x, s->body, strlen(s->body));
 	return x;
 }
@@ -173,11 +178,11 @@
 
 	x->user = gen_new(m, s);
 	x->on_data = on_data;
-	x->on_turn = on_turn;
+	x->on_batch_end = on_batch_end;
 	x->on_done = on_done;
 	x->on_free = on_free;
-	x->stall_us = s->times.first_byte_ms * 1000;
-	curl_easy_setopt(x->easy, CURLOPT_CONNECTTIMEOUT_MS, (long)s->times.connect_ms);
+	x->stall_us = s->timeouts.first_byte_ms * 1000;
+	curl_easy_setopt(x->easy, CURLOPT_CONNECTTIMEOUT_MS, (long)s->timeouts.connect_ms);
 	if (!mux_submit(m, x)) return x;
 	mux_xfer_unref(x);
 	return NULL;
--- a/src/link/eng_watch.c
+++ b/src/link/eng_watch.c
@@ -1,4 +1,4 @@
-/* An engine's reports: one stream of events, opened again with back-off when it breaks. */
+/* An engine's load reports: an event stream that is reopened with back-off when it breaks. */
 #include "clock.h"
 #include "eng.h"
 #include "hash.h"
@@ -20,7 +20,7 @@
 	void (*on_lost)(uint64_t engine);
 	pthread_mutex_t lock;
 	struct mux_xfer *xfer;
-	int stopped, seen;
+	int stopped, has_preemptions;
 	uint64_t preemptions;
 };
 
@@ -38,7 +38,7 @@
 	g_free(w);
 }
 
-static uint64_t number(json_object *o, const char *key)
+static uint64_t get_uint64(json_object *o, const char *key)
 {
 	json_object *v;
 
@@ -47,9 +47,10 @@
 
 static void count_preemptions(struct eng_watch *w, uint64_t now)
 {
-	if (w->seen && now > w->preemptions) met_add(MET_PREEMPTIONS, now - w->preemptions);
+	if (w->has_preemptions && now > w->preemptions)
+		met_add(MET_PREEMPTIONS, now - w->preemptions);
 	w->preemptions = now;
-	w->seen = 1;
+	w->has_preemptions = 1;
 }
 
 static int on_event(struct sse *s, void *arg)
@@ -61,13 +62,13 @@
 	if (strcmp(s->event, "load")) return 0;
 	o = json_tokener_parse(s->data->str);
 	if (!o) return 0;
-	l.steps = number(o, "steps");
-	l.preemptions = number(o, "preemptions");
-	l.used_tokens = (uint32_t)number(o, "used_tokens");
-	l.capacity_tokens = (uint32_t)number(o, "capacity_tokens");
-	l.running = (uint32_t)number(o, "running");
-	l.max_running = (uint32_t)number(o, "max_running");
-	l.step_us = (uint32_t)number(o, "step_us");
+	l.steps = get_uint64(o, "steps");
+	l.preemptions = get_uint64(o, "preemptions");
+	l.used_tokens = (uint32_t)get_uint64(o, "used_tokens");
+	l.capacity_tokens = (uint32_t)get_uint64(o, "capacity_tokens");
+	l.running = (uint32_t)get_uint64(o, "running");
+	l.max_running = (uint32_t)get_uint64(o, "max_running");
+	l.step_us = (uint32_t)get_uint64(o, "step_us");
 	json_object_put(o);
 	count_preemptions(w, l.preemptions);
 	met_add(MET_LOADS, 1);
--- a/src/link/httpc.c
+++ b/src/link/httpc.c
@@ -9,7 +9,7 @@
 	return size * n;
 }
 
-static size_t on_head(char *p, size_t size, size_t n, void *user)
+static size_t on_header(char *p, size_t size, size_t n, void *user)
 {
 	struct httpc_answer *a = user;
 	size_t i = 5, k = 0, len = size * n;
@@ -22,7 +22,7 @@
 	return len;
 }
 
-static struct curl_slist *headers(const struct httpc_call *c)
+static struct curl_slist *build_headers(const struct httpc_call *c)
 {
 	struct curl_slist *h = NULL;
 	char *line;
@@ -42,10 +42,10 @@
 	return h;
 }
 
-void httpc(const struct httpc_call *c, struct httpc_answer *a)
+void httpc_perform(const struct httpc_call *c, struct httpc_answer *a)
 {
 	char *url = g_strdup_printf("http://%s%s", c->address, c->path);
-	struct curl_slist *h = headers(c);
+	struct curl_slist *h = build_headers(c);
 	CURL *curl = curl_easy_init();
 	CURLcode rc;
 
@@ -58,7 +58,7 @@
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, c->timeout_ms ? c->timeout_ms : 10000L);
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, httpc_append);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, a->text);
-	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, on_head);
+	curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(curl, CURLOPT_HEADERDATA, a);
 	if (c->body) curl_easy_setopt(curl, CURLOPT_POSTFIELDS, c->body);
 	curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, c->method);
--- a/src/link/kv_http.c
+++ b/src/link/kv_http.c
@@ -11,28 +11,28 @@
 
 static struct kv_config cfg;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static double allowance;
+static double budget;
 static int64_t refilled_us;
 
 void kv_init(const struct kv_config *c)
 {
 	cfg = *c;
-	allowance = cfg.calls_per_s;
+	budget = cfg.calls_per_s;
 	refilled_us = clock_us();
 }
 
-/* 0 once a call may be made now, else -EBUSY, counted. */
+/* Token bucket: 0 when a call may be made now, else -EBUSY. Counts both cases. */
 static int take_budget(void)
 {
 	int64_t now = clock_us();
 	int ok;
 
 	pthread_mutex_lock(&lock);
-	allowance += (double)(now - refilled_us) / 1e6 * cfg.calls_per_s;
-	if (allowance > cfg.calls_per_s) allowance = cfg.calls_per_s;
+	budget += (double)(now - refilled_us) / 1e6 * cfg.calls_per_s;
+	if (budget > cfg.calls_per_s) budget = cfg.calls_per_s;
 	refilled_us = now;
-	ok = allowance >= 1;
-	if (ok) allowance -= 1;
+	ok = budget >= 1;
+	if (ok) budget -= 1;
 	pthread_mutex_unlock(&lock);
 	met_add(ok ? MET_KV_CALLS : MET_KV_REFUSED_BUDGET, 1);
 	return ok ? 0 : -EBUSY;
@@ -43,7 +43,7 @@
 	uint64_t version;
 };
 
-static size_t on_head(char *p, size_t size, size_t n, void *user)
+static size_t on_header(char *p, size_t size, size_t n, void *user)
 {
 	struct answer *a = user;
 
@@ -68,13 +68,13 @@
 	curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, (long)cfg.timeout_ms);
 	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, httpc_append);
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, a->body);
-	curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, on_head);
+	curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(c, CURLOPT_HEADERDATA, a);
 	g_free(url);
 	return c;
 }
 
-/* The HTTP status, or -EBUSY or -EIO. */
+/* Returns the HTTP status, -EBUSY or -EIO. */
 static long perform(CURL *c, struct err *e)
 {
 	CURLcode rc;
@@ -110,18 +110,19 @@
 	return err_set(e, -ENOENT, STEP_PLATFORM, cfg.address, "no such key: %s", key);
 }
 
-/* One conditional change: the HTTP status, or -EBUSY or -EIO. */
-static long change(CURL *c, uint64_t expect, struct err *e)
+/* Performs a conditional write; returns the HTTP status, -EBUSY or -EIO. */
+static long perform_put(CURL *c, uint64_t expect, struct err *e)
 {
 	struct curl_slist *h = NULL;
-	char head[64];
+	char condition[64];
 	long status;
 
 	if (expect)
-		g_snprintf(head, sizeof head, "If-Match: \"%" G_GUINT64_FORMAT "\"", expect);
+		g_snprintf(condition, sizeof condition, "If-Match: \"%" G_GUINT64_FORMAT "\"",
+			   expect);
 	else
-		g_strlcpy(head, "If-None-Match: *", sizeof head);
-	h = curl_slist_append(h, head);
+		g_strlcpy(condition, "If-None-Match: *", sizeof condition);
+	h = curl_slist_append(h, condition);
 	h = curl_slist_append(h, "Expect:");
 	curl_easy_setopt(c, CURLOPT_HTTPHEADER, h);
 	curl_easy_setopt(c, CURLOPT_CUSTOMREQUEST, "PUT");
@@ -131,7 +132,7 @@
 	return status;
 }
 
-static int changed(long status, const char *key, struct err *e)
+static int put_result(long status, const char *key, struct err *e)
 {
 	if (status < 0) return (int)status;
 	if (status == 200) return 0;
@@ -150,10 +151,10 @@
 
 	curl_easy_setopt(c, CURLOPT_POSTFIELDS, value);
 	curl_easy_setopt(c, CURLOPT_POSTFIELDSIZE, (long)len);
-	status = change(c, expect, e);
+	status = perform_put(c, expect, e);
 	g_string_free(a.body, TRUE);
 	if (status == 200 && version) *version = a.version;
-	return changed(status, key, e);
+	return put_result(status, key, e);
 }
 
 struct mux_xfer *kv_watch(const char *key, uint64_t after, int wait)
--- a/src/link/mux.c
+++ b/src/link/mux.c
@@ -28,12 +28,12 @@
 	struct ring cmds;
 	pthread_t thread;
 	int epoll;
-	int64_t timer_us; /* when libcurl wants to be called; 0: not */
+	int64_t timer_us; /* when libcurl's timer expires; 0: none */
 	int64_t sweep_us;
-	int64_t now_us;     /* of this turn */
-	GPtrArray *fed;     /* that got data in this turn */
-	GPtrArray *live;    /* submitted and not done */
-	GPtrArray *delayed; /* waiting for start_us */
+	int64_t now_us;       /* time of this loop iteration */
+	GPtrArray *with_data; /* received data in this loop iteration */
+	GPtrArray *live;      /* started and not finished */
+	GPtrArray *delayed;   /* waiting for start_us */
 	atomic_int stop;
 };
 
@@ -106,7 +106,7 @@
 	return send_cmd(m, CMD_RESUME, x);
 }
 
-void mux_one_way(struct mux_xfer *x)
+void mux_delay_acks(struct mux_xfer *x)
 {
 	curl_socket_t fd;
 	int off = 0;
@@ -127,15 +127,15 @@
 	struct mux_xfer *x = user;
 
 	x->last_us = x->mux->now_us;
-	if (!x->fed) {
-		x->fed = 1;
-		g_ptr_array_add(x->mux->fed, x);
+	if (!x->has_data) {
+		x->has_data = 1;
+		g_ptr_array_add(x->mux->with_data, x);
 	}
 	if (x->cancelled || x->on_data(x, data, size * n)) return 0;
 	return size * n;
 }
 
-static size_t on_head(char *data, size_t size, size_t n, void *user)
+static size_t on_header_line(char *data, size_t size, size_t n, void *user)
 {
 	struct mux_xfer *x = user;
 
@@ -144,7 +144,7 @@
 	return size * n;
 }
 
-static int on_socket(CURL *easy, curl_socket_t fd, int what, void *user, void *known)
+static int on_socket(CURL *easy, curl_socket_t fd, int what, void *user, void *registered)
 {
 	struct mux *m = user;
 	struct epoll_event ev = {.data.fd = fd};
@@ -157,7 +157,7 @@
 	}
 	if (what & CURL_POLL_IN) ev.events |= EPOLLIN;
 	if (what & CURL_POLL_OUT) ev.events |= EPOLLOUT;
-	epoll_ctl(m->epoll, known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd, &ev);
+	epoll_ctl(m->epoll, registered ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd, &ev);
 	curl_multi_assign(m->multi, fd, m);
 	return 0;
 }
@@ -179,21 +179,21 @@
 	if (x->headers) curl_easy_setopt(x->easy, CURLOPT_HTTPHEADER, x->headers);
 	curl_easy_setopt(x->easy, CURLOPT_WRITEFUNCTION, on_write);
 	curl_easy_setopt(x->easy, CURLOPT_WRITEDATA, x);
-	curl_easy_setopt(x->easy, CURLOPT_HEADERFUNCTION, on_head);
+	curl_easy_setopt(x->easy, CURLOPT_HEADERFUNCTION, on_header_line);
 	curl_easy_setopt(x->easy, CURLOPT_HEADERDATA, x);
 	g_ptr_array_add(m->live, x);
 	curl_multi_add_handle(m->multi, x->easy);
 }
 
-static void end_turn_of(struct mux *m, struct mux_xfer *x)
+static void end_batch(struct mux *m, struct mux_xfer *x)
 {
-	if (!x->fed) return;
-	x->fed = 0;
-	g_ptr_array_remove_fast(m->fed, x);
-	if (x->on_turn && !x->cancelled) x->on_turn(x);
+	if (!x->has_data) return;
+	x->has_data = 0;
+	g_ptr_array_remove_fast(m->with_data, x);
+	if (x->on_batch_end && !x->cancelled) x->on_batch_end(x);
 }
 
-/* The thread's reference goes with the end. */
+/* Also drops the thread's reference. */
 static void finish(struct mux *m, struct mux_xfer *x, CURLcode rc)
 {
 	long status = 0;
@@ -201,7 +201,7 @@
 	curl_easy_getinfo(x->easy, CURLINFO_RESPONSE_CODE, &status);
 	curl_multi_remove_handle(m->multi, x->easy);
 	g_ptr_array_remove_fast(m->live, x);
-	end_turn_of(m, x);
+	end_batch(m, x);
 	x->running = 0;
 	if (!x->cancelled && x->on_done)
 		x->on_done(x, x->stalled ? CURLE_OPERATION_TIMEDOUT : rc, status);
@@ -252,7 +252,7 @@
 	for (i = 0; i < n; i++) run_cmd(m, item[i]);
 }
 
-static void reap(struct mux *m)
+static void finish_done(struct mux *m)
 {
 	struct mux_xfer *x;
 	CURLMsg *msg;
@@ -265,7 +265,7 @@
 	}
 }
 
-/* Starts what was delayed and ends what has been silent for too long. */
+/* Starts delayed exchanges that are due and ends those without data for too long. */
 static void sweep(struct mux *m, int64_t now)
 {
 	struct mux_xfer *x;
@@ -292,7 +292,7 @@
 	}
 }
 
-static int wait_ms(const struct mux *m, int64_t now)
+static int timeout_ms(const struct mux *m, int64_t now)
 {
 	int64_t until = m->sweep_us;
 
@@ -312,23 +312,23 @@
 	curl_multi_socket_action(m->multi, ev->data.fd, mask, &running);
 }
 
-static void turn(struct mux *m)
+static void run_once(struct mux *m)
 {
 	struct epoll_event ev[EVENTS_MAX];
 	int64_t now = clock_us();
 	int i, n, running;
 
-	n = epoll_wait(m->epoll, ev, EVENTS_MAX, wait_ms(m, now));
+	n = epoll_wait(m->epoll, ev, EVENTS_MAX, timeout_ms(m, now));
 	m->now_us = clock_us();
 	for (i = 0; i < n; i++) socket_event(m, &ev[i]);
-	while (m->fed->len) end_turn_of(m, m->fed->pdata[m->fed->len - 1]);
+	while (m->with_data->len) end_batch(m, m->with_data->pdata[m->with_data->len - 1]);
 	run_cmds(m);
 	now = clock_us();
 	if (m->timer_us && m->timer_us <= now) {
 		m->timer_us = 0;
 		curl_multi_socket_action(m->multi, CURL_SOCKET_TIMEOUT, 0, &running);
 	}
-	reap(m);
+	finish_done(m);
 	if (now >= m->sweep_us) sweep(m, now);
 }
 
@@ -337,7 +337,7 @@
 	struct mux *m = arg;
 
 	rcu_register_thread();
-	while (!m->stop) turn(m);
+	while (!m->stop) run_once(m);
 	run_cmds(m);
 	while (m->live->len) cancel(m, m->live->pdata[0]);
 	while (m->delayed->len) cancel(m, m->delayed->pdata[0]);
@@ -357,7 +357,7 @@
 	curl_multi_setopt(m->multi, CURLMOPT_TIMERDATA, m);
 	curl_multi_setopt(m->multi, CURLMOPT_MAXCONNECTS, 256L);
 	m->live = g_ptr_array_new();
-	m->fed = g_ptr_array_new();
+	m->with_data = g_ptr_array_new();
 	m->delayed = g_ptr_array_new();
 	m->epoll = epoll_create1(EPOLL_CLOEXEC);
 	ring_init(&m->cmds, ring_cap, 1);
@@ -377,7 +377,7 @@
 	close(m->epoll);
 	ring_free(&m->cmds);
 	g_ptr_array_unref(m->live);
-	g_ptr_array_unref(m->fed);
+	g_ptr_array_unref(m->with_data);
 	g_ptr_array_unref(m->delayed);
 	g_free(m);
 }
--- a/src/link/peer.c
+++ b/src/link/peer.c
@@ -1,4 +1,4 @@
-/* The peer thread: its links, and when what is sent on them. */
+/* The peer thread: its event loop, its links, and the schedule of heartbeats. */
 #include "peer_impl.h"
 #include "clock.h"
 #include "digest.h"
@@ -23,12 +23,12 @@
 #define CMDS_MAX 512
 #define RING_CAP 16384
 #define TICK_US 50000
-#define IDLE_US 30000000   /* a link unused for so long is closed */
-#define CONNECT_US 1000000 /* a connection not up by then is given up */
-#define SEED_EVERY 8       /* heartbeats between looks at the seeds */
+#define IDLE_US 30000000   /* a link that receives nothing for so long is closed */
+#define CONNECT_US 1000000 /* timeout of connecting */
+#define SEED_HEARTBEATS 8  /* heartbeats between checks of the seeds */
 #define PUBLISH_US 100000
-#define FANOUT 3
-#define FORGET_US 7200000000 /* longer than regions lose each other for */
+#define FANOUT 3             /* heartbeats sent at once when a document changes or on leaving */
+#define FORGET_US 7200000000 /* dead members are kept longer than regions lose each other */
 
 enum cmd_type { CMD_SEND, CMD_DOCS, CMD_LEAVE };
 
@@ -95,16 +95,17 @@
 
 	peer.dirty = 0;
 	peer.published_us = clock_us();
-	n = mbr_list(peer.mbr, peer.list, MEMBERS_MAX);
+	n = mbr_list(peer.mbr, peer.members, MEMBERS_MAX);
 
-	view_set_members(peer.list, n);
+	view_set_members(peer.members, n);
 	met_set(MET_G_MEMBERS, n);
 	v = view_get();
 	digest_prune(v);
 	view_unref(v);
 }
 
-/* Placing every engine again costs milliseconds in a large fleet: bursts of news share it. */
+/* A publication places every engine again, which takes milliseconds in a large fleet: updates
+ * that come in bursts share one. */
 void peer_publish(void)
 {
 	if (clock_us() - peer.published_us >= PUBLISH_US)
@@ -113,7 +114,7 @@
 		peer.dirty = 1;
 }
 
-static void watch_link(struct plink *l)
+static void update_epoll(struct plink *l)
 {
 	uint32_t want = l->connecting || l->out.size ? EPOLLIN | EPOLLOUT : EPOLLIN;
 	struct epoll_event ev = {.events = want, .data.ptr = l};
@@ -123,7 +124,7 @@
 	l->events = want;
 }
 
-/* Only marked here: events of this turn may still point to it. */
+/* The link is not freed yet: events of this loop iteration may still point to it. */
 void peer_close(struct plink *l)
 {
 	if (l->closed) return;
@@ -131,10 +132,10 @@
 	epoll_ctl(peer.epoll, EPOLL_CTL_DEL, l->fd, NULL);
 	if (l->member && g_hash_table_lookup(peer.by_member, &l->member) == l)
 		g_hash_table_remove(peer.by_member, &l->member);
-	peer_docs_closed(l);
+	peer_docs_on_close(l);
 }
 
-static void bury_links(void)
+static void free_closed_links(void)
 {
 	struct plink *l;
 	guint i;
@@ -150,20 +151,21 @@
 	}
 }
 
-/* What waits behind too much is dropped, counted there, and told of once for each time. */
+/* plink_queue drops and counts messages when the output buffer is full. The warning is logged
+ * once until the buffer has been emptied. */
 static void send_frame(struct plink *l, const msgpack_sbuffer *b)
 {
 	struct mbr_info to = {.name = "a newcomer"};
 
-	if (plink_queue(l, b->data, b->size) && !l->full) {
-		l->full = 1;
+	if (plink_queue(l, b->data, b->size) && !l->dropping) {
+		l->dropping = 1;
 		mbr_find(peer.mbr, l->member, &to);
-		log_warn("peer", "Drops messages to %s: too much waits for it.", to.name);
+		log_warn("peer", "Dropping messages to %s: its send buffer is full.", to.name);
 	}
 	if (plink_flush(l))
 		peer_close(l);
 	else
-		watch_link(l);
+		update_epoll(l);
 }
 
 void peer_queue(struct plink *l, const struct wire_msg *m)
@@ -176,7 +178,7 @@
 	msgpack_sbuffer_destroy(&b);
 }
 
-void peer_say_hello(struct plink *l)
+void peer_send_hello(struct plink *l)
 {
 	struct wire_msg m = {.type = WIRE_HELLO};
 
@@ -190,7 +192,7 @@
 	struct plink *l = plink_new(fd, connecting, clock_us());
 
 	g_ptr_array_add(peer.links, l);
-	watch_link(l);
+	update_epoll(l);
 	return l;
 }
 
@@ -206,11 +208,11 @@
 	l = add_link(fd, 1);
 	l->member = member;
 	if (member) g_hash_table_insert(peer.by_member, &l->member, l);
-	peer_say_hello(l);
+	peer_send_hello(l);
 	return l;
 }
 
-static struct plink *link_to(uint64_t member)
+static struct plink *get_link(uint64_t member)
 {
 	struct plink *l = g_hash_table_lookup(peer.by_member, &member);
 	struct mbr_info i;
@@ -220,7 +222,7 @@
 	return peer_dial(i.ip, i.peer_port, member);
 }
 
-static void ping_some(uint32_t n)
+static void ping_members(uint32_t n)
 {
 	struct mbr_info to[FANOUT];
 	struct plink *l;
@@ -228,21 +230,22 @@
 
 	n = mbr_probe(peer.mbr, clock_us(), to, n);
 	for (i = 0; i < n; i++) {
-		l = link_to(to[i].id);
+		l = get_link(to[i].id);
 		if (l) peer_ping(l, to[i].id, WIRE_PING);
 	}
 }
 
-static int known_address(const char *ip, int port)
+static int is_member_address(const char *ip, int port)
 {
-	uint32_t i, n = mbr_list(peer.mbr, peer.list, MEMBERS_MAX);
+	uint32_t i, n = mbr_list(peer.mbr, peer.members, MEMBERS_MAX);
 
 	for (i = 0; i < n; i++)
-		if (peer.list[i].peer_port == port && !strcmp(peer.list[i].ip, ip)) return 1;
+		if (peer.members[i].peer_port == port && !strcmp(peer.members[i].ip, ip))
+			return 1;
 	return 0;
 }
 
-static void look_at_seeds(void)
+static void connect_seeds(void)
 {
 	char ip[MBR_IP_MAX + 1];
 	const char *colon;
@@ -254,7 +257,7 @@
 		g_strlcpy(ip, node.cfg.seeds.item[i],
 			  (gsize)(colon - node.cfg.seeds.item[i]) + 1);
 		port = atoi(colon + 1);
-		if (port > 0 && port < 65536 && !known_address(ip, port))
+		if (port > 0 && port < 65536 && !is_member_address(ip, port))
 			peer_dial(ip, (uint16_t)port, 0);
 	}
 }
@@ -270,13 +273,13 @@
 	}
 }
 
-static int connected(struct plink *l)
+static int finish_connect(struct plink *l)
 {
 	socklen_t n = sizeof(int);
-	int why = 0;
+	int error = 0;
 
-	getsockopt(l->fd, SOL_SOCKET, SO_ERROR, &why, &n);
-	if (why) return -1;
+	getsockopt(l->fd, SOL_SOCKET, SO_ERROR, &error, &n);
+	if (error) return -1;
 	l->connecting = 0;
 	return 0;
 }
@@ -284,7 +287,7 @@
 static void link_event(struct plink *l, uint32_t events)
 {
 	if (l->closed) return;
-	if (l->connecting && connected(l)) {
+	if (l->connecting && finish_connect(l)) {
 		met_retried(RETRY_PEER_CONNECT);
 		peer_close(l);
 		return;
@@ -297,17 +300,17 @@
 	if (plink_flush(l))
 		peer_close(l);
 	else
-		watch_link(l);
+		update_epoll(l);
 }
 
 static void leave(void)
 {
 	mbr_leave(peer.mbr);
 	peer_publish();
-	ping_some(FANOUT);
+	ping_members(FANOUT);
 }
 
-static void drop(const struct cmd *c)
+static void drop_cmd(const struct cmd *c)
 {
 	met_add(MET_PEER_DROPPED, 1);
 	log_debug("peer", "Dropped a message to %016" PRIx64 ": there is no link to it.",
@@ -320,13 +323,13 @@
 
 	switch (c->type) {
 	case CMD_SEND:
-		l = link_to(c->member);
+		l = get_link(c->member);
 		if (l)
 			send_frame(l, &c->frame);
 		else
-			drop(c);
+			drop_cmd(c);
 		break;
-	case CMD_DOCS: ping_some(FANOUT); break;
+	case CMD_DOCS: ping_members(FANOUT); break;
 	case CMD_LEAVE: leave(); break;
 	}
 	msgpack_sbuffer_destroy(&c->frame);
@@ -341,34 +344,35 @@
 	for (i = 0; i < n; i++) run_cmd(item[i]);
 }
 
-static void close_old_links(int64_t now)
+static void close_idle_links(int64_t now)
 {
 	struct plink *l;
 	guint i;
 
 	for (i = 0; i < peer.links->len; i++) {
 		l = peer.links->pdata[i];
-		if (now - l->heard_us > (l->connecting ? CONNECT_US : IDLE_US)) peer_close(l);
+		if (now - l->last_seen_us > (l->connecting ? CONNECT_US : IDLE_US))
+			peer_close(l);
 	}
 }
 
 static void tick(int64_t now)
 {
-	peer.tick_us = now + TICK_US;
+	peer.next_tick_us = now + TICK_US;
 	if (mbr_expire(peer.mbr, now)) peer_publish();
 	if (peer.dirty) peer_publish();
-	close_old_links(now);
+	close_idle_links(now);
 	peer_docs_tick(now);
-	if (now < peer.beat_us) return;
-	peer.beat_us = now + node.cfg.heartbeat_ms * 1000;
-	if (peer.beats++ % SEED_EVERY == 0) look_at_seeds();
-	ping_some(1);
+	if (now < peer.next_heartbeat_us) return;
+	peer.next_heartbeat_us = now + node.cfg.heartbeat_ms * 1000;
+	if (peer.heartbeats++ % SEED_HEARTBEATS == 0) connect_seeds();
+	ping_members(1);
 }
 
-static void turn(void)
+static void run_once(void)
 {
 	struct epoll_event ev[EVENTS_MAX];
-	int64_t now = clock_us(), left = peer.tick_us - now;
+	int64_t now = clock_us(), left = peer.next_tick_us - now;
 	int i, n;
 
 	n = epoll_wait(peer.epoll, ev, EVENTS_MAX, left > 0 ? (int)((left + 999) / 1000) : 0);
@@ -380,8 +384,8 @@
 	}
 	run_cmds();
 	now = clock_us();
-	if (now >= peer.tick_us) tick(now);
-	bury_links();
+	if (now >= peer.next_tick_us) tick(now);
+	free_closed_links();
 }
 
 static void *run(void *arg)
@@ -389,7 +393,7 @@
 	(void)arg;
 	rcu_register_thread();
 	peer_publish();
-	while (!node.stopping) turn();
+	while (!node.stopping) run_once();
 	run_cmds();
 	rcu_unregister_thread();
 	return NULL;
@@ -409,7 +413,7 @@
 	peer.mbr = mbr_new(self, &c);
 	peer.links = g_ptr_array_new();
 	peer.by_member = g_hash_table_new(g_int64_hash, g_int64_equal);
-	peer.list = g_new0(struct mbr_info, MEMBERS_MAX);
+	peer.members = g_new0(struct mbr_info, MEMBERS_MAX);
 	epoll_ctl(peer.epoll, EPOLL_CTL_ADD, peer.listen_fd, &ev);
 	if (ring_init(&peer.cmds, RING_CAP, 1))
 		return err_set(e, -ENOMEM, STEP_PEER, "", "no memory for the ring");
@@ -431,7 +435,7 @@
 	g_ptr_array_unref(peer.links);
 	g_hash_table_unref(peer.by_member);
 	mbr_free(peer.mbr);
-	g_free(peer.list);
+	g_free(peer.members);
 	close(peer.listen_fd);
 	close(peer.epoll);
 	ring_free(&peer.cmds);
--- a/src/link/peer_link.c
+++ b/src/link/peer_link.c
@@ -22,7 +22,7 @@
 	l->fd = fd;
 	l->connecting = connecting;
 	l->outgoing = connecting;
-	l->heard_us = now_us;
+	l->last_seen_us = now_us;
 	l->in = g_byte_array_new();
 	msgpack_sbuffer_init(&l->out);
 	return l;
@@ -68,7 +68,7 @@
 	if (left) memmove(l->out.data, l->out.data + l->sent, left);
 	l->out.size = left;
 	l->sent = 0;
-	l->full = l->full && left;
+	l->dropping = l->dropping && left;
 }
 
 int plink_flush(struct plink *l)
@@ -95,28 +95,28 @@
 	return l->out.size > l->sent || unacked > 0;
 }
 
-/* Hands on every whole frame at the front of the buffer. */
-static int frames(struct plink *l, int (*f)(struct plink *l, struct wire_msg *m))
+/* Calls f for every complete frame at the front of the buffer. */
+static int read_frames(struct plink *l, int (*f)(struct plink *l, struct wire_msg *m))
 {
-	msgpack_unpacked hold;
+	msgpack_unpacked unpacked;
 	struct wire_msg m;
-	uint32_t len, at = 0;
+	uint32_t len, off = 0;
 	int rc = 0;
 
-	msgpack_unpacked_init(&hold);
-	while (!rc && l->in->len - at >= sizeof len) {
-		memcpy(&len, l->in->data + at, sizeof len);
+	msgpack_unpacked_init(&unpacked);
+	while (!rc && l->in->len - off >= sizeof len) {
+		memcpy(&len, l->in->data + off, sizeof len);
 		len = ntohl(len);
 		if (len > WIRE_FRAME_MAX) rc = -1;
-		if (rc || l->in->len - at - sizeof len < len) break;
-		rc = wire_decode((char *)l->in->data + at + sizeof len, len, &m, &hold);
+		if (rc || l->in->len - off - sizeof len < len) break;
+		rc = wire_decode((char *)l->in->data + off + sizeof len, len, &m, &unpacked);
 		if (rc) break;
 		met_add(MET_PEER_MSGS_IN, 1);
-		at += (uint32_t)sizeof len + len;
+		off += (uint32_t)sizeof len + len;
 		rc = f(l, &m);
 	}
-	msgpack_unpacked_destroy(&hold);
-	if (at) g_byte_array_remove_range(l->in, 0, at);
+	msgpack_unpacked_destroy(&unpacked);
+	if (off) g_byte_array_remove_range(l->in, 0, off);
 	return rc ? -1 : 0;
 }
 
@@ -130,9 +130,9 @@
 		if (n < 0 && errno == EINTR) continue;
 		if (n < 0) return errno == EAGAIN ? 0 : -1;
 		if (n == 0) return -1;
-		l->heard_us = clock_us();
+		l->last_seen_us = clock_us();
 		met_add(MET_PEER_BYTES_IN, (uint64_t)n);
 		g_byte_array_append(l->in, buf, (guint)n);
-		if (frames(l, f)) return -1;
+		if (read_frames(l, f)) return -1;
 	}
 }
--- a/src/link/peer_msg.c
+++ b/src/link/peer_msg.c
@@ -1,4 +1,4 @@
-/* What daemons tell each other of members and documents. */
+/* Handling of received messages; heartbeats with updates of members and documents. */
 #include "clock.h"
 #include "digest.h"
 #include "docs.h"
@@ -7,19 +7,22 @@
 #include "peer_impl.h"
 #include <string.h>
 
-/* What the other should know first: this instance, and the other as it is thought of here. */
+/* The first updates are this instance and, if it is suspect or dead here, the receiver itself,
+ * so that it can refute that. */
 static void fill_ping(struct wire_ping *p, const struct plink *l, uint64_t to)
 {
-	struct mbr_info *n = p->news;
+	struct mbr_info *n = p->updates;
 	struct mbr_info other;
 
 	p->ndocs = docs_versions(p->doc, WIRE_DOCS_MAX);
 	p->ndigests = digest_get(node.self.id, p->digest, WIRE_DIGESTS_MAX);
-	p->members = mbr_hash(peer.mbr);
-	mbr_find(peer.mbr, node.self.id, &n[p->nnews++]);
-	if (mbr_find(peer.mbr, to, &other) && other.state >= MBR_SUSPECT) n[p->nnews++] = other;
-	p->nnews += mbr_gossip(peer.mbr, n + p->nnews, MBR_GOSSIP_MAX);
-	if (l->differs) p->nnews += mbr_window(peer.mbr, n + p->nnews, MBR_WINDOW_MAX);
+	p->members_hash = mbr_hash(peer.mbr);
+	mbr_find(peer.mbr, node.self.id, &n[p->nupdates++]);
+	if (mbr_find(peer.mbr, to, &other) && other.state >= MBR_SUSPECT)
+		n[p->nupdates++] = other;
+	p->nupdates += mbr_gossip(peer.mbr, n + p->nupdates, MBR_GOSSIP_MAX);
+	if (l->lists_differ)
+		p->nupdates += mbr_window(peer.mbr, n + p->nupdates, MBR_WINDOW_MAX);
 }
 
 void peer_ping(struct plink *l, uint64_t to, enum wire_type type)
@@ -39,42 +42,42 @@
 	return !diff;
 }
 
-/* A newcomer hears of everybody at once; what comes later it hears as news. */
-static void send_all_news(struct plink *l)
+/* Sends a new member the whole list at once; later changes reach it as updates. */
+static void send_member_list(struct plink *l)
 {
-	uint32_t i, n = mbr_list(peer.mbr, peer.list, MEMBERS_MAX);
+	uint32_t i, n = mbr_list(peer.mbr, peer.members, MEMBERS_MAX);
 
-	l->differs = 1;
+	l->lists_differ = 1;
 	for (i = 0; i < n; i += MBR_WINDOW_MAX) peer_ping(l, l->member, WIRE_ACK);
 }
 
 static int on_hello(struct plink *l, const struct wire_msg *m)
 {
 	const struct mbr_info *other = &m->u.hello.self;
-	int known = l->outgoing;
+	int outgoing = l->outgoing;
 
 	if (!same_key(m->u.hello.key, node.cfg.peer_key)) {
-		log_warn("peer", "%s said hello with a wrong key.", other->name);
+		log_warn("peer", "%s sent a hello with a wrong key.", other->name);
 		return -1;
 	}
 	if (other->id == node.self.id) return -1;
 	if (l->member && l->member != other->id) return -1;
-	if (peer_docs_own(l)) return 0;
+	if (peer_docs_is_fetch_link(l)) return 0;
 	l->member = other->id;
 	if (!g_hash_table_lookup(peer.by_member, &l->member))
 		g_hash_table_insert(peer.by_member, &l->member, l);
 	if (mbr_apply(peer.mbr, other, clock_us())) {
 		peer_publish();
-		send_all_news(l);
+		send_member_list(l);
 	}
-	if (!known)
-		peer_say_hello(l);
+	if (!outgoing)
+		peer_send_hello(l);
 	else
 		peer_ping(l, l->member, WIRE_PING);
 	return 0;
 }
 
-static void note_table(uint64_t member, const struct wire_ping *p)
+static void record_table_version(uint64_t member, const struct wire_ping *p)
 {
 	uint32_t i;
 
@@ -89,13 +92,14 @@
 	int changed = mbr_heard(peer.mbr, l->member, clock_us());
 	uint32_t i;
 
-	for (i = 0; i < p->nnews; i++) changed |= mbr_apply(peer.mbr, &p->news[i], clock_us());
-	l->differs = p->members != mbr_hash(peer.mbr);
+	for (i = 0; i < p->nupdates; i++)
+		changed |= mbr_apply(peer.mbr, &p->updates[i], clock_us());
+	l->lists_differ = p->members_hash != mbr_hash(peer.mbr);
 	if (changed) peer_publish();
 	digest_set(l->member, p->digest, p->ndigests);
-	note_table(l->member, p);
+	record_table_version(l->member, p);
 	if (m->type == WIRE_PING) peer_ping(l, l->member, WIRE_ACK);
-	peer_docs_told(l->member, p);
+	peer_docs_on_versions(l->member, p);
 }
 
 int peer_on_msg(struct plink *l, struct wire_msg *m)
@@ -117,9 +121,9 @@
 	case WIRE_SHARE_ASK:
 	case WIRE_SHARE:
 	case WIRE_REFUSE: ticket_deliver(m, l->member); break;
-	case WIRE_DOC_GET: peer_docs_asked(l, m); break;
+	case WIRE_DOC_GET: peer_docs_on_get(l, m); break;
 	case WIRE_DOC:
-		if (peer_docs_came(l, m)) return -1;
+		if (peer_docs_on_doc(l, m)) return -1;
 		break;
 	}
 	return l->closed ? -1 : 0;
--- a/src/link/sse.c
+++ b/src/link/sse.c
@@ -16,7 +16,7 @@
 	g_string_free(s->data, TRUE);
 }
 
-/* The value of a line "name: value"; n is the name's length. */
+/* Returns the value of a line "name: value", or NULL if the name differs. n is its length. */
 static const char *field(const char *line, const char *name, size_t n)
 {
 	if (line[0] != name[0] || memcmp(line, name, n) || line[n] != ':') return NULL;
--- a/src/link/wire_decode.c
+++ b/src/link/wire_decode.c
@@ -1,4 +1,4 @@
-/* Reading messages: nothing that a peer sends is trusted to have the right shape. */
+/* Decoding of messages. Frames from peers are untrusted: types and sizes are checked. */
 #include "wire.h"
 #include "hash.h"
 #include <errno.h>
@@ -7,7 +7,7 @@
 struct cursor {
 	const msgpack_object *at;
 	uint32_t left;
-	int bad;
+	int malformed;
 };
 
 static const msgpack_object *next(struct cursor *c, msgpack_object_type type)
@@ -15,13 +15,13 @@
 	const msgpack_object *o;
 
 	if (!c->left) {
-		c->bad = 1;
+		c->malformed = 1;
 		return NULL;
 	}
 	o = c->at++;
 	c->left--;
 	if (o->type != type) {
-		c->bad = 1;
+		c->malformed = 1;
 		return NULL;
 	}
 	return o;
@@ -38,7 +38,7 @@
 {
 	uint64_t v = u64(c);
 
-	if (v > UINT32_MAX) c->bad = 1;
+	if (v > UINT32_MAX) c->malformed = 1;
 	return (uint32_t)v;
 }
 
@@ -57,24 +57,24 @@
 	if (!o) return;
 	if (!o->via.str.size) return;
 	if (o->via.str.size > max || memchr(o->via.str.ptr, 0, o->via.str.size)) {
-		c->bad = 1;
+		c->malformed = 1;
 		return;
 	}
 	memcpy(out, o->via.str.ptr, o->via.str.size);
 	out[o->via.str.size] = 0;
 }
 
-static struct cursor list(struct cursor *c)
+static struct cursor array(struct cursor *c)
 {
 	const msgpack_object *o = next(c, MSGPACK_OBJECT_ARRAY);
 
-	if (!o) return (struct cursor){.bad = 1};
+	if (!o) return (struct cursor){.malformed = 1};
 	return (struct cursor){.at = o->via.array.ptr, .left = o->via.array.size};
 }
 
 static void info(struct cursor *c, struct mbr_info *i)
 {
-	struct cursor f = list(c);
+	struct cursor f = array(c);
 	uint64_t state;
 
 	str(&f, i->name, MBR_NAME_MAX);
@@ -85,38 +85,38 @@
 	i->admin_port = (uint16_t)u32(&f);
 	i->incarnation = u64(&f);
 	state = u64(&f);
-	if (state > MBR_DEAD || !i->name[0]) f.bad = 1;
+	if (state > MBR_DEAD || !i->name[0]) f.malformed = 1;
 	i->state = (enum mbr_state)state;
 	i->id = hash_name(i->name);
-	c->bad |= f.bad;
+	c->malformed |= f.malformed;
 }
 
 static void ping(struct cursor *c, struct wire_ping *g)
 {
-	struct cursor l = list(c), f;
+	struct cursor l = array(c), f;
 
 	for (g->ndocs = 0; l.left && g->ndocs < WIRE_DOCS_MAX; g->ndocs++) {
-		f = list(&l);
+		f = array(&l);
 		g->doc[g->ndocs].doc = u64(&f);
 		g->doc[g->ndocs].version = u64(&f);
-		l.bad |= f.bad;
+		l.malformed |= f.malformed;
 	}
-	c->bad |= l.bad;
-	l = list(c);
+	c->malformed |= l.malformed;
+	l = array(c);
 	for (g->ndigests = 0; l.left && g->ndigests < WIRE_DIGESTS_MAX; g->ndigests++) {
-		f = list(&l);
+		f = array(&l);
 		g->digest[g->ndigests].service = u64(&f);
 		g->digest[g->ndigests].free_tokens = u32(&f);
 		g->digest[g->ndigests].free_slots = u32(&f);
 		g->digest[g->ndigests].waiting = u32(&f);
-		l.bad |= f.bad;
+		l.malformed |= f.malformed;
 	}
-	c->bad |= l.bad;
-	l = list(c);
-	for (g->nnews = 0; l.left && g->nnews < WIRE_NEWS_MAX; g->nnews++)
-		info(&l, &g->news[g->nnews]);
-	c->bad |= l.bad;
-	g->members = u64(c);
+	c->malformed |= l.malformed;
+	l = array(c);
+	for (g->nupdates = 0; l.left && g->nupdates < WIRE_UPDATES_MAX; g->nupdates++)
+		info(&l, &g->updates[g->nupdates]);
+	c->malformed |= l.malformed;
+	g->members_hash = u64(c);
 }
 
 static void ticket(struct cursor *c, struct wire_ticket *t)
@@ -146,7 +146,7 @@
 
 	m->u.claim.request = u64(c);
 	type = u32(c);
-	if (type > CLAIM_OP_RELEASE) c->bad = 1;
+	if (type > CLAIM_OP_RELEASE) c->malformed = 1;
 	op->type = (enum claim_op_type)type;
 	str(c, op->key, sizeof op->key - 1);
 	str(c, op->attempt, sizeof op->attempt - 1);
@@ -161,7 +161,7 @@
 {
 	m->u.claimed.request = u64(c);
 	m->u.claimed.result = u32(c);
-	if (m->u.claimed.result > CLAIM_DOWN) c->bad = 1;
+	if (m->u.claimed.result > CLAIM_DOWN) c->malformed = 1;
 	m->u.claimed.status = u32(c);
 	str(c, m->u.claimed.content, sizeof m->u.claimed.content - 1);
 	m->u.claimed.answer = bin(c, &m->u.claimed.answer_len);
@@ -178,11 +178,11 @@
 
 static void check(struct cursor *c, struct wire_msg *m)
 {
-	struct cursor l = list(c);
+	struct cursor l = array(c);
 
 	for (m->u.check.n = 0; l.left && m->u.check.n < WIRE_CHECKS_MAX; m->u.check.n++)
 		m->u.check.request[m->u.check.n] = u64(&l);
-	c->bad |= l.bad;
+	c->malformed |= l.malformed;
 }
 
 static void doc(struct cursor *c, struct wire_msg *m)
@@ -194,7 +194,7 @@
 	m->u.doc.data = bin(c, &m->u.doc.len);
 }
 
-static void fields(struct cursor *c, struct wire_msg *m)
+static void decode_fields(struct cursor *c, struct wire_msg *m)
 {
 	switch (m->type) {
 	case WIRE_HELLO:
@@ -229,21 +229,22 @@
 	case WIRE_DOC_GET:
 	case WIRE_DOC: doc(c, m); return;
 	}
-	c->bad = 1;
+	c->malformed = 1;
 }
 
-int wire_decode(const char *body, size_t len, struct wire_msg *m, msgpack_unpacked *hold)
+int wire_decode(const char *body, size_t len, struct wire_msg *m, msgpack_unpacked *unpacked)
 {
 	struct cursor c;
 	size_t off = 0;
 
 	if (wire_check(body, len)) return -EPROTO;
-	if (msgpack_unpack_next(hold, body, len, &off) != MSGPACK_UNPACK_SUCCESS)
+	if (msgpack_unpack_next(unpacked, body, len, &off) != MSGPACK_UNPACK_SUCCESS)
 		return -EPROTO;
-	if (off != len || hold->data.type != MSGPACK_OBJECT_ARRAY) return -EPROTO;
-	c = (struct cursor){.at = hold->data.via.array.ptr, .left = hold->data.via.array.size};
+	if (off != len || unpacked->data.type != MSGPACK_OBJECT_ARRAY) return -EPROTO;
+	c = (struct cursor){.at = unpacked->data.via.array.ptr,
+			    .left = unpacked->data.via.array.size};
 	memset(m, 0, sizeof *m);
 	m->type = (enum wire_type)u32(&c);
-	fields(&c, m);
-	return c.bad ? -EPROTO : 0;
+	decode_fields(&c, m);
+	return c.malformed ? -EPROTO : 0;
 }
--- a/src/link/wire_encode.c
+++ b/src/link/wire_encode.c
@@ -51,9 +51,9 @@
 		u64(p, g->digest[i].free_slots);
 		u64(p, g->digest[i].waiting);
 	}
-	msgpack_pack_array(p, g->nnews);
-	for (i = 0; i < g->nnews; i++) info(p, &g->news[i]);
-	u64(p, g->members);
+	msgpack_pack_array(p, g->nupdates);
+	for (i = 0; i < g->nupdates; i++) info(p, &g->updates[i]);
+	u64(p, g->members_hash);
 }
 
 static void ticket(msgpack_packer *p, const struct wire_ticket *t)
@@ -146,7 +146,7 @@
 	bin(p, m->u.doc.data, m->u.doc.len);
 }
 
-static void body(msgpack_packer *p, const struct wire_msg *m)
+static void encode_body(msgpack_packer *p, const struct wire_msg *m)
 {
 	msgpack_pack_array(p, field_count(m->type) + 1);
 	u64(p, m->type);
@@ -193,7 +193,7 @@
 
 	msgpack_sbuffer_write(out, (const char *)&len, sizeof len);
 	msgpack_packer_init(&p, out, msgpack_sbuffer_write);
-	body(&p, m);
+	encode_body(&p, m);
 	len = htonl((uint32_t)(out->size - at - sizeof len));
 	memcpy(out->data + at, &len, sizeof len);
 }
--- a/src/node/gen.c
+++ b/src/node/gen.c
@@ -53,7 +53,7 @@
 		.attempt = ++g->attempt,
 		.next = gen_next(g),
 		.req = g->req,
-		.times = {node.cfg.connect_ms, node.cfg.first_byte_ms, node.cfg.stall_ms},
+		.timeouts = {node.cfg.connect_ms, node.cfg.first_byte_ms, node.cfg.stall_ms},
 	};
 
 	drop_exchange(g, 0);
--- a/src/standin/common.h
+++ b/src/standin/common.h
@@ -1,4 +1,4 @@
-/* What the stand-ins share: a port, a ready file, JSON bodies. */
+/* Shared by the stand-ins: options, HTTP server, ready file, JSON bodies and responses. */
 #ifndef SH_STANDIN_COMMON_H
 #define SH_STANDIN_COMMON_H
 #include "http.h"
@@ -8,7 +8,7 @@
 struct standin_options {
 	int port;
 	char *ready_file;
-	char *journal; /* a line for each thing done, kept when the process is killed */
+	char *journal_file; /* a line per action, written at once so that it survives a kill */
 };
 
 #define STANDIN_OPTIONS(o)                                                                      \
@@ -21,31 +21,31 @@
 		 "write the address there",                                                     \
 		 "FILE"},                                                                       \
 	{                                                                                       \
-		"journal", 0, POPT_ARG_STRING, &(o)->journal, 0, "append what is done there",   \
-			"FILE"                                                                  \
+		"journal", 0, POPT_ARG_STRING, &(o)->journal_file, 0,                           \
+			"append a line for each action there", "FILE"                           \
 	}
 
-/* Parses, or exits with 2. */
+/* Parses the options; exits with 2 on an error. */
 void standin_parse(const char *name, int argc, const char **argv, struct poptOption *table);
 struct mg_context *standin_serve(const struct standin_options *o, int threads);
-/* Tells the address, once the handlers are set. */
+/* Writes the address to the ready file or stdout. Call it once the handlers are set. */
 void standin_ready(const struct standin_options *o, struct mg_context *ctx);
-/* Returns on SIGTERM or SIGINT. */
+/* Returns on SIGTERM or SIGINT, which standin_block_signals must have blocked before. */
 void standin_wait(void);
-void standin_catch(void);
+void standin_block_signals(void);
 
-/* Appends a line to the journal's file, if there is one, before anything else is done. */
-void standin_note(const struct standin_options *o, const char *fmt, ...)
+/* Appends a line to the journal file, if there is one. Call it before the action itself. */
+void standin_journal(const struct standin_options *o, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 
 json_object *standin_body(struct mg_connection *c);
 int64_t standin_int(json_object *o, const char *key, int64_t def);
-const char *standin_text(json_object *o, const char *key, const char *def);
+const char *standin_string(json_object *o, const char *key, const char *def);
 int standin_has(json_object *o, const char *key);
 int64_t standin_param(struct mg_connection *c, const char *name, int64_t def);
-/* What it says of itself in the head of each answer that standin_send sends from now on, as
- * "Name: value" of up to 200 characters; NULL, empty, or more than a line: nothing. */
-void standin_say(const char *line);
+/* Sets an extra header, "Name: value" of up to 200 characters, for all later responses of
+ * standin_send. NULL, an empty text, or one with a line break removes it. */
+void standin_set_header(const char *line);
 int standin_send(struct mg_connection *c, int status, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 #endif
--- a/src/standin/common_engine_model.c
+++ b/src/standin/common_engine_model.c
@@ -5,7 +5,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#define ORPHAN_US 15000000 /* a generation that nobody reads ends after so long */
+#define ORPHAN_US \
+	15000000 /* a running generation without a reader is cancelled after so long */
 #define LENGTH_MIN 8
 #define LENGTH_SPREAD 200
 
@@ -20,7 +21,7 @@
 				    .lag_ms = 100};
 }
 
-static void take_out(GPtrArray *a, struct seq *q)
+static void remove_seq(GPtrArray *a, struct seq *q)
 {
 	g_ptr_array_remove(a, q);
 }
@@ -29,20 +30,20 @@
 {
 	m->used -= q->used;
 	q->used = 0;
-	take_out(m->running, q);
+	remove_seq(m->running, q);
 }
 
-static void end(struct engine_model *m, struct seq *q, enum seq_state how)
+static void end_seq(struct engine_model *m, struct seq *q, enum seq_state how)
 {
 	if (q->state == SEQ_RUNNING) release(m, q);
-	if (q->state == SEQ_WAITING) take_out(m->waiting, q);
+	if (q->state == SEQ_WAITING) remove_seq(m->waiting, q);
 	q->state = how;
 	q->left_us = q->ended_us = clock_us();
 }
 
-/* Tokens of the prompt's front that an earlier prompt left in the cache; what is new goes in.
+/* Returns the number of prompt tokens in blocks that are cached, and caches the other blocks.
  */
-static uint32_t cache_look(struct engine_model *m, const char *prompt)
+static uint32_t cache_lookup(struct engine_model *m, const char *prompt)
 {
 	size_t at, n = strlen(prompt);
 	uint32_t hit = 0, i;
@@ -62,8 +63,8 @@
 	return hit;
 }
 
-/* Higher priority first, then the one preempted or added earlier. */
-static void queue_up(struct engine_model *m, struct seq *q, int front)
+/* Orders the queue by priority; front puts q before others of its priority, not behind them. */
+static void enqueue(struct engine_model *m, struct seq *q, int front)
 {
 	struct seq *x;
 	guint i;
@@ -94,7 +95,7 @@
 	return 1;
 }
 
-/* The newest of the lowest priority goes back to waiting and loses its memory. */
+/* Preempts the newest sequence of the lowest priority: it loses its memory and waits again. */
 static void preempt(struct engine_model *m)
 {
 	struct seq *q, *victim = NULL;
@@ -110,10 +111,10 @@
 	release(m, victim);
 	victim->preempted++;
 	m->preemptions++;
-	queue_up(m, victim, 1);
+	enqueue(m, victim, 1);
 }
 
-static void grow(struct engine_model *m, int64_t now)
+static void generate_tokens(struct engine_model *m, int64_t now)
 {
 	struct seq *q;
 	guint i;
@@ -130,7 +131,7 @@
 		q->used++;
 		m->used++;
 		if (q->generated >= q->length)
-			end(m, q, SEQ_DONE);
+			end_seq(m, q, SEQ_DONE);
 		else
 			i++;
 	}
@@ -144,7 +145,7 @@
 	for (i = 0; i < m->running->len;) {
 		q = m->running->pdata[i];
 		if (!q->readers && now - q->left_us > ORPHAN_US)
-			end(m, q, SEQ_CANCELLED);
+			end_seq(m, q, SEQ_CANCELLED);
 		else
 			i++;
 	}
@@ -152,12 +153,13 @@
 
 static void take_snapshot(struct engine_model *m, int64_t now)
 {
-	m->shot[m->nshots++ % SNAPSHOTS] = (struct snapshot){.at_us = now,
-							     .steps = m->steps,
-							     .preemptions = m->preemptions,
-							     .used = m->used,
-							     .running = m->running->len,
-							     .waiting = m->waiting->len};
+	m->snapshots[m->nsnapshots++ % SNAPSHOTS] =
+		(struct snapshot){.at_us = now,
+				  .steps = m->steps,
+				  .preemptions = m->preemptions,
+				  .used = m->used,
+				  .running = m->running->len,
+				  .waiting = m->waiting->len};
 }
 
 static int64_t step(struct engine_model *m)
@@ -167,7 +169,7 @@
 	while (admit(m, now))
 		;
 	if (m->running->len) {
-		grow(m, now);
+		generate_tokens(m, now);
 		m->steps++;
 	}
 	end_orphans(m, now);
@@ -210,7 +212,8 @@
 	pthread_detach(t);
 }
 
-/* Nobody knows it ahead: drawn from the prompt, long ones rare. */
+/* Output length as a hash of the prompt, unknown to the caller; one in 16 is eight times as
+ * long. */
 static uint32_t draw_length(const char *prompt)
 {
 	uint64_t h = hash_bytes(prompt, strlen(prompt));
@@ -227,7 +230,8 @@
 	if (s->id)
 		g_strlcpy(q->id, s->id, sizeof q->id);
 	else
-		g_snprintf(q->id, sizeof q->id, "local-%llu", (unsigned long long)++m->made);
+		g_snprintf(q->id, sizeof q->id, "local-%llu",
+			   (unsigned long long)++m->last_local_id);
 	q->prompt_tokens = (uint32_t)strlen(s->prompt) / 4 + 1;
 	if (g_hash_table_contains(m->by_id, q->id) ||
 	    q->prompt_tokens >= (uint32_t)m->cfg.capacity) {
@@ -241,12 +245,12 @@
 	q->length = s->length ? s->length : draw_length(s->prompt);
 	q->limited = s->max_tokens && s->max_tokens < q->length;
 	if (q->limited) q->length = s->max_tokens;
-	q->cached = cache_look(m, s->prompt);
+	q->cached = cache_lookup(m, s->prompt);
 	q->readers = 1;
 	q->added_us = clock_us();
 	g_hash_table_insert(m->by_id, q->id, q);
 	g_ptr_array_add(m->all, q);
-	queue_up(m, q, 0);
+	enqueue(m, q, 0);
 	pthread_mutex_unlock(&m->lock);
 	return q;
 }
@@ -292,22 +296,22 @@
 	q = g_hash_table_lookup(m->by_id, id);
 	if (q) {
 		started = q->state != SEQ_WAITING || q->generated > 0;
-		if (q->state <= SEQ_RUNNING) end(m, q, SEQ_CANCELLED);
+		if (q->state <= SEQ_RUNNING) end_seq(m, q, SEQ_CANCELLED);
 		pthread_cond_broadcast(&m->stepped);
 	}
 	pthread_mutex_unlock(&m->lock);
 	return started;
 }
 
-/* The newest snapshot that is at least lag_ms old. */
-static const struct snapshot *lagged(const struct engine_model *m)
+/* The newest snapshot that is at least lag_ms old, or else the oldest. */
+static const struct snapshot *lagged_snapshot(const struct engine_model *m)
 {
 	int64_t until = clock_us() - (int64_t)m->cfg.lag_ms * 1000;
 	const struct snapshot *s = NULL;
 	uint32_t i;
 
-	for (i = 0; i < SNAPSHOTS && i < m->nshots; i++) {
-		s = &m->shot[(m->nshots - 1 - i) % SNAPSHOTS];
+	for (i = 0; i < SNAPSHOTS && i < m->nsnapshots; i++) {
+		s = &m->snapshots[(m->nsnapshots - 1 - i) % SNAPSHOTS];
 		if (s->at_us <= until) break;
 	}
 	return s;
@@ -318,7 +322,7 @@
 	const struct snapshot *s;
 
 	pthread_mutex_lock(&m->lock);
-	s = lagged(m);
+	s = lagged_snapshot(m);
 	if (s)
 		g_string_append_printf(
 			out,
--- a/src/standin/common_http.c
+++ b/src/standin/common_http.c
@@ -9,7 +9,7 @@
 
 #define BODY_MAX (4u << 20)
 
-static sigset_t stops;
+static sigset_t stop_signals;
 
 void standin_parse(const char *name, int argc, const char **argv, struct poptOption *table)
 {
@@ -23,12 +23,12 @@
 	poptFreeContext(ctx);
 }
 
-void standin_catch(void)
+void standin_block_signals(void)
 {
-	sigemptyset(&stops);
-	sigaddset(&stops, SIGTERM);
-	sigaddset(&stops, SIGINT);
-	pthread_sigmask(SIG_BLOCK, &stops, NULL);
+	sigemptyset(&stop_signals);
+	sigaddset(&stop_signals, SIGTERM);
+	sigaddset(&stop_signals, SIGINT);
+	pthread_sigmask(SIG_BLOCK, &stop_signals, NULL);
 	signal(SIGPIPE, SIG_IGN);
 }
 
@@ -36,7 +36,7 @@
 {
 	int sig;
 
-	sigwait(&stops, &sig);
+	sigwait(&stop_signals, &sig);
 }
 
 static void write_ready(const char *path, int port)
@@ -101,20 +101,20 @@
 		printf("127.0.0.1:%d\n", p.port);
 }
 
-void standin_note(const struct standin_options *o, const char *fmt, ...)
+void standin_journal(const struct standin_options *o, const char *fmt, ...)
 {
 	char line[512];
 	va_list ap;
 	int fd, n;
 
-	if (!o->journal) return;
+	if (!o->journal_file) return;
 	va_start(ap, fmt);
 	n = vsnprintf(line, sizeof line - 1, fmt, ap);
 	va_end(ap);
 	if (n > (int)sizeof line - 2) n = sizeof line - 2;
 	line[n++] = '\n';
-	fd = open(o->journal, O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0644);
-	if (fd < 0 || write(fd, line, (size_t)n) != n) perror(o->journal);
+	fd = open(o->journal_file, O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0644);
+	if (fd < 0 || write(fd, line, (size_t)n) != n) perror(o->journal_file);
 	if (fd >= 0) close(fd);
 }
 
@@ -141,7 +141,7 @@
 	return json_object_object_get_ex(o, key, &v) ? json_object_get_int64(v) : def;
 }
 
-const char *standin_text(json_object *o, const char *key, const char *def)
+const char *standin_string(json_object *o, const char *key, const char *def)
 {
 	json_object *v;
 
@@ -157,34 +157,35 @@
 	return strtoll(buf, NULL, 10);
 }
 
-static pthread_mutex_t said_lock = PTHREAD_MUTEX_INITIALIZER;
-static char said[256]; /* a head line of each answer, ended by CRLF; or empty */
+static pthread_mutex_t extra_header_lock = PTHREAD_MUTEX_INITIALIZER;
+static char extra_header[256]; /* header line of each response, with CRLF; or empty */
 
-void standin_say(const char *line)
+void standin_set_header(const char *line)
 {
 	int usable = line && *line && !strpbrk(line, "\r\n");
 
-	pthread_mutex_lock(&said_lock);
-	g_snprintf(said, sizeof said, usable ? "%.200s\r\n" : "%s", usable ? line : "");
-	pthread_mutex_unlock(&said_lock);
+	pthread_mutex_lock(&extra_header_lock);
+	g_snprintf(extra_header, sizeof extra_header, usable ? "%.200s\r\n" : "%s",
+		   usable ? line : "");
+	pthread_mutex_unlock(&extra_header_lock);
 }
 
-static void copy_said(char *out)
+static void copy_extra_header(char *out)
 {
-	pthread_mutex_lock(&said_lock);
-	memcpy(out, said, sizeof said);
-	pthread_mutex_unlock(&said_lock);
+	pthread_mutex_lock(&extra_header_lock);
+	memcpy(out, extra_header, sizeof extra_header);
+	pthread_mutex_unlock(&extra_header_lock);
 }
 
 int standin_send(struct mg_connection *c, int status, const char *fmt, ...)
 {
-	char *s, head[sizeof said];
+	char *s, head[sizeof extra_header];
 	va_list ap;
 
 	va_start(ap, fmt);
 	s = g_strdup_vprintf(fmt, ap);
 	va_end(ap);
-	copy_said(head);
+	copy_extra_header(head);
 	http_send(c, status, "application/json", s, strlen(s), head);
 	g_free(s);
 	return status;
--- a/src/standin/engine_model.h
+++ b/src/standin/engine_model.h
@@ -1,4 +1,4 @@
-/* The stand-in engine's inside: streams, memory, steps, and a small prefix cache. */
+/* Simulation behind the stand-in engine: sequences, memory, steps, and a small prefix cache. */
 #ifndef SH_ENGINE_MODEL_H
 #define SH_ENGINE_MODEL_H
 #include <glib.h>
@@ -26,9 +26,9 @@
 	enum seq_state state;
 	int chat, priority, limited, readers;
 	uint32_t prompt_tokens, length, generated, cached;
-	uint32_t used; /* tokens of memory held */
+	uint32_t used; /* memory held, in tokens */
 	uint32_t preempted;
-	int64_t ready_us; /* when its prefill is over */
+	int64_t ready_us; /* when its prefill ends */
 	int64_t added_us, left_us, ended_us;
 };
 
@@ -52,27 +52,29 @@
 	GPtrArray *waiting, *running, *all;
 	uint32_t used;
 	uint64_t steps, preemptions;
-	struct snapshot shot[SNAPSHOTS];
-	uint32_t nshots;
+	struct snapshot snapshots[SNAPSHOTS];
+	uint32_t nsnapshots;
 	uint64_t cache[CACHE_BLOCKS];
 	uint32_t cache_next;
 	uint64_t cache_seq;
 	int slow, frozen;
 	int64_t fence;
-	uint64_t made;
+	uint64_t last_local_id;
 };
 
 void model_defaults(struct engine_config *c);
 void model_start(struct engine_model *m);
-/* NULL when the id is in use, or the prompt can never fit. */
+/* Adds a sequence with one reader. NULL when the id is in use, or the prompt can never fit. */
 struct seq *model_add(struct engine_model *m, const struct seq_start *s);
+/* Adds a reader. NULL when there is no such sequence, or it was cancelled. */
 struct seq *model_find(struct engine_model *m, const char *id);
-/* Waits until more than from tokens are there, or it ended; returns how many are. */
+/* Waits until more than from tokens are generated, or q has ended; returns their number. */
 uint32_t model_wait(struct engine_model *m, struct seq *q, uint32_t from);
 void model_reader_left(struct engine_model *m, struct seq *q);
-/* Whether it had begun; -1 when there is no such generation. */
+/* Returns whether it had started; -1 when there is no such generation. */
 int model_cancel(struct engine_model *m, const char *id);
 void model_report(struct engine_model *m, GString *out, uint64_t *cache_seen);
 void model_journal(struct engine_model *m, GString *out);
+/* Records an order's fence; 0 when fences are checked and this one is older than the last. */
 int model_fence(struct engine_model *m, int64_t fence);
 #endif
--- a/src/standin/standin-engine.c
+++ b/src/standin/standin-engine.c
@@ -1,5 +1,5 @@
-/* Stand-in for a model engine: batches continuously, has a memory that fills as streams grow,
- * preempts when it is full, reports load late. Faults are switched on by POST /fault. */
+/* Stand-in for a model engine: it batches continuously, its memory fills as streams grow, it
+ * preempts when memory is full, and it reports load with a lag. POST /fault sets faults. */
 #include "engine_model.h"
 #include "clock.h"
 #include "common.h"
@@ -8,13 +8,13 @@
 
 #define GEN_PATH "/v1/generations/"
 #define THREADS 700
-#define BATCH 64 /* tokens in one write at most */
+#define BATCH 64 /* maximum tokens per write */
 
 static struct standin_options options;
 static struct engine_model model;
 static struct engine_faults faults;
 
-static int take_one(int *left)
+static int consume_fault(int *left)
 {
 	int n = __atomic_load_n(left, __ATOMIC_RELAXED);
 
@@ -44,7 +44,8 @@
 				       q->id, q->tag, offset, finish);
 }
 
-static void events(GString *s, const struct seq *q, const char *id, uint32_t from, uint32_t to)
+static void append_events(GString *s, const struct seq *q, const char *id, uint32_t from,
+			  uint32_t to)
 {
 	uint32_t i;
 
@@ -55,11 +56,11 @@
 	}
 }
 
-/* Streams q from an offset on, until its end, its cancel, or the reader's. */
+/* Streams q from an offset on, until it ends or is cancelled, or the reader disconnects. */
 static int stream(struct mg_connection *c, struct seq *q, uint32_t from)
 {
-	int cut = take_one(&faults.cut) ? (int)faults.cut_after : -1;
-	const char *id = take_one(&faults.cross) ? "another-generation" : q->id;
+	int cut = consume_fault(&faults.cut) ? (int)faults.cut_after : -1;
+	const char *id = consume_fault(&faults.cross) ? "another-generation" : q->id;
 	GString *s = g_string_new(NULL), *scratch = g_string_new(NULL);
 	int rc = http_stream_start(c, NULL);
 	uint32_t have;
@@ -70,7 +71,7 @@
 		if (have > from + BATCH) have = from + BATCH;
 		if (cut >= 0 && (int)have > cut) have = (uint32_t)cut;
 		g_string_truncate(s, 0);
-		events(s, q, id, from, have);
+		append_events(s, q, id, from, have);
 		if (s->len) rc = http_stream_write(c, scratch, s->str, s->len);
 		from = have;
 		if (cut >= 0 && (int)from >= cut) rc = -1;
@@ -87,7 +88,7 @@
 	return 200;
 }
 
-static int whole(struct mg_connection *c, struct seq *q)
+static int send_whole(struct mg_connection *c, struct seq *q)
 {
 	GString *s = g_string_new("{\"choices\":[{\"index\":0,\"text\":\"");
 	uint32_t i, have = 0;
@@ -113,22 +114,22 @@
 		json_object_put(o);
 		return standin_send(c, 503, "{\"error\":\"refused\"}");
 	}
-	st.id = standin_text(o, "request_id", NULL);
+	st.id = standin_string(o, "request_id", NULL);
 	json_object_object_get_ex(o, chat ? "messages" : "prompt", &v);
 	st.prompt = json_object_to_json_string_ext(v, JSON_C_TO_STRING_PLAIN);
 	st.priority = (int)standin_int(o, "priority", 0);
 	st.max_tokens = (uint32_t)standin_int(o, "max_tokens", 0);
 	st.length = (uint32_t)standin_int(o, "x_output_tokens", 0);
 	want_stream = standin_int(o, "stream", 0) != 0;
-	standin_note(&options, "start %s %s", standin_text(o, "x_tag", "-"),
-		     st.id ? st.id : "-");
+	standin_journal(&options, "start %s %s", standin_string(o, "x_tag", "-"),
+			st.id ? st.id : "-");
 	q = model_add(&model, &st);
 	json_object_put(o);
 	if (!q)
 		return standin_send(c, 409,
 				    "{\"error\":\"this id runs already or is too long\"}");
 	if (faults.delay_ms) usleep((useconds_t)faults.delay_ms * 1000);
-	return want_stream ? stream(c, q, 0) : whole(c, q);
+	return want_stream ? stream(c, q, 0) : send_whole(c, q);
 }
 
 static int on_completions(struct mg_connection *c, void *arg)
@@ -161,7 +162,7 @@
 	return stream(c, q, (uint32_t)standin_param(c, "from", 0));
 }
 
-/* Load, and what the prefix cache holds, for as long as the listener stays. */
+/* Streams reports of load and of the prefix cache until the client disconnects. */
 static int on_events(struct mg_connection *c, void *arg)
 {
 	GString *s = g_string_new(NULL), *scratch = g_string_new(NULL);
@@ -210,7 +211,7 @@
 	return 200;
 }
 
-/* An order is taken when its fence is not older than the last one's. */
+/* With --fenced, an order is refused when its fence is older than the last one's. */
 static int on_order(struct mg_connection *c, void *arg)
 {
 	json_object *o = standin_body(c);
@@ -244,7 +245,7 @@
 
 	model_defaults(g);
 	standin_parse("standin-engine", argc, argv, table);
-	standin_catch();
+	standin_block_signals();
 	model_start(&model);
 	ctx = standin_serve(&options, THREADS);
 	mg_set_request_handler(ctx, "/v1/completions$", on_completions, NULL);
--- a/src/standin/standin-kv.c
+++ b/src/standin/standin-kv.c
@@ -1,5 +1,5 @@
-/* Stand-in for the platform's key-value service: compare-and-swap, leases, watches, limits.
- * Faults are switched on by POST /fault, never by chance. */
+/* Stand-in for the platform's key-value service: compare-and-swap, leases, watches, rate
+ * limits. Faults are set by POST /fault and never random. */
 #include "clock.h"
 #include "common.h"
 #include <pthread.h>
@@ -12,15 +12,15 @@
 #define VALUE_MAX (1u << 20)
 
 struct entry {
-	char *data, *old;
-	size_t len, old_len;
-	uint64_t version, old_version;
-	int64_t expires_us; /* 0: holds no lease */
+	char *data, *previous;
+	size_t len, previous_len;
+	uint64_t version, previous_version;
+	int64_t expires_us; /* 0: it has no lease */
 };
 
 struct bucket {
-	double left, rate;
-	int64_t at_us;
+	double tokens, rate;
+	int64_t refilled_us;
 };
 
 static struct {
@@ -35,15 +35,15 @@
 	int64_t slow_ms;
 } kv = {.lock = PTHREAD_MUTEX_INITIALIZER};
 
-static int allow(struct bucket *b)
+static int take_token(struct bucket *b)
 {
 	int64_t now = clock_us();
 
-	b->left += (double)(now - b->at_us) / 1e6 * b->rate;
-	if (b->left > b->rate) b->left = b->rate;
-	b->at_us = now;
-	if (b->left < 1) return 0;
-	b->left -= 1;
+	b->tokens += (double)(now - b->refilled_us) / 1e6 * b->rate;
+	if (b->tokens > b->rate) b->tokens = b->rate;
+	b->refilled_us = now;
+	if (b->tokens < 1) return 0;
+	b->tokens -= 1;
 	return 1;
 }
 
@@ -52,7 +52,7 @@
 	struct entry *e = p;
 
 	g_free(e->data);
-	g_free(e->old);
+	g_free(e->previous);
 	g_free(e);
 }
 
@@ -65,7 +65,7 @@
 	return NULL;
 }
 
-static int etag(struct mg_connection *c, const char *name, uint64_t *v)
+static int parse_etag(struct mg_connection *c, const char *name, uint64_t *v)
 {
 	const char *h = mg_get_header(c, name);
 
@@ -77,14 +77,14 @@
 
 static int send_value(struct mg_connection *c, const struct entry *e)
 {
-	int stale = kv.stale_reads && e->old;
+	int stale = kv.stale_reads && e->previous;
 	char head[64];
 	char *copy;
-	size_t n = stale ? e->old_len : e->len;
+	size_t n = stale ? e->previous_len : e->len;
 
 	g_snprintf(head, sizeof head, "ETag: \"%llu\"\r\n",
-		   (unsigned long long)(stale ? e->old_version : e->version));
-	copy = g_memdup2(stale ? e->old : e->data, n + 1);
+		   (unsigned long long)(stale ? e->previous_version : e->version));
+	copy = g_memdup2(stale ? e->previous : e->data, n + 1);
 	pthread_mutex_unlock(&kv.lock);
 	http_send(c, 200, "application/octet-stream", copy, n, head);
 	g_free(copy);
@@ -92,7 +92,7 @@
 	return 200;
 }
 
-/* Waits until the key is newer than after, or wait_ms have passed. */
+/* Waits until the key's version is above after, the store is down, or wait_ms have passed. */
 static struct entry *wait_newer(const char *key, uint64_t after, int64_t wait_ms)
 {
 	struct timespec ts = clock_spec(clock_us() + wait_ms * 1000);
@@ -122,8 +122,8 @@
 {
 	uint64_t want;
 
-	if (etag(c, "If-Match", &want)) return e && e->version == want;
-	if (etag(c, "If-None-Match", &want)) return !e;
+	if (parse_etag(c, "If-Match", &want)) return e && e->version == want;
+	if (parse_etag(c, "If-None-Match", &want)) return !e;
 	return 1;
 }
 
@@ -133,10 +133,10 @@
 		e = g_new0(struct entry, 1);
 		g_hash_table_insert(kv.entries, g_strdup(key), e);
 	}
-	g_free(e->old);
-	e->old = e->data;
-	e->old_len = e->len;
-	e->old_version = e->version;
+	g_free(e->previous);
+	e->previous = e->data;
+	e->previous_len = e->len;
+	e->previous_version = e->version;
 	e->data = data;
 	e->len = n;
 	e->version = ++kv.version;
@@ -152,7 +152,7 @@
 	if (kv.lose_answers > 0) {
 		kv.lose_answers--;
 		mg_disable_keep_alive(c);
-		return 200; /* nothing is sent: the connection just closes */
+		return 200; /* nothing is sent before the connection is closed */
 	}
 	g_snprintf(head, sizeof head, "ETag: \"%llu\"\r\n", (unsigned long long)version);
 	return http_send(c, 200, "application/json", "{}", 2, head);
@@ -178,9 +178,9 @@
 	return answer_write(c, ++kv.version);
 }
 
-static int refuse(struct mg_connection *c, int write)
+static int check_limits(struct mg_connection *c, int write)
 {
-	int ok = allow(write ? &kv.writes : &kv.reads);
+	int ok = take_token(write ? &kv.writes : &kv.reads);
 
 	if (write)
 		kv.nwrites++;
@@ -209,7 +209,7 @@
 	if (kv.slow_ms) usleep((useconds_t)kv.slow_ms * 1000);
 	while (kv.hang) usleep(10000);
 	pthread_mutex_lock(&kv.lock);
-	status = refuse(c, write);
+	status = check_limits(c, write);
 	if (status)
 		g_free(data);
 	else if (put)
@@ -258,7 +258,7 @@
 	struct mg_context *ctx;
 
 	standin_parse("standin-kv", argc, argv, table);
-	standin_catch();
+	standin_block_signals();
 	pthread_condattr_init(&attr);
 	pthread_condattr_setclock(&attr, CLOCK_MONOTONIC);
 	pthread_cond_init(&kv.changed, &attr);
--- a/src/standin/standin-service.c
+++ b/src/standin/standin-service.c
@@ -1,5 +1,5 @@
-/* Stand-in for a plain service: records each run of a call.
- * Faults are switched on by POST /fault, never by chance. */
+/* Stand-in for a plain service: it records each run of a call.
+ * Faults are set by POST /fault and never random. */
 #include "common.h"
 #include <pthread.h>
 #include <string.h>
@@ -34,15 +34,15 @@
 	return r.n;
 }
 
-static int take_one(int *left)
+static int consume_fault(int *left)
 {
-	int got;
+	int taken;
 
 	pthread_mutex_lock(&sv.lock);
-	got = *left > 0;
-	if (got) --*left;
+	taken = *left > 0;
+	if (taken) --*left;
 	pthread_mutex_unlock(&sv.lock);
-	return got;
+	return taken;
 }
 
 static int on_call(struct mg_connection *c, void *arg)
@@ -53,14 +53,14 @@
 	uint64_t n;
 
 	(void)arg;
-	if (take_one(&sv.refuse)) {
+	if (consume_fault(&sv.refuse)) {
 		json_object_put(body);
 		return standin_send(c, 503, "{\"error\":\"refused\"}");
 	}
-	standin_note(&o, "run %s", key ? key : "-");
+	standin_journal(&o, "run %s", key ? key : "-");
 	n = record(key, i->local_uri);
 	if (sv.delay_ms) usleep((useconds_t)sv.delay_ms * 1000);
-	if (take_one(&sv.lose_answers))
+	if (consume_fault(&sv.lose_answers))
 		mg_disable_keep_alive(c);
 	else
 		standin_send(c, 200, "{\"run\":%llu,\"path\":\"%s\",\"echo\":%s}",
@@ -80,7 +80,7 @@
 	sv.lose_answers = (int)standin_int(f, "lose_answers", sv.lose_answers);
 	sv.refuse = (int)standin_int(f, "refuse", sv.refuse);
 	sv.delay_ms = standin_int(f, "delay_ms", sv.delay_ms);
-	if (standin_has(f, "say")) standin_say(standin_text(f, "say", NULL));
+	if (standin_has(f, "say")) standin_set_header(standin_string(f, "say", NULL));
 	pthread_mutex_unlock(&sv.lock);
 	json_object_put(f);
 	return standin_send(c, 200, "{}");
@@ -112,7 +112,7 @@
 	struct mg_context *ctx;
 
 	standin_parse("standin-service", argc, argv, table);
-	standin_catch();
+	standin_block_signals();
 	sv.runs = g_array_new(FALSE, TRUE, sizeof(struct run));
 	ctx = standin_serve(&o, THREADS);
 	mg_set_request_handler(ctx, "/fault$", on_fault, NULL);
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -183,7 +183,7 @@
 	double sum = 0;
 	int i;
 
-	httpc(&c, &a);
+	httpc_perform(&c, &a);
 	line = g_strsplit(a.text->str, "\n", -1);
 	for (i = 0; line[i]; i++) {
 		if (strncmp(line[i], name, n) || !strchr(line[i], ' ')) continue;
--- a/test/test_docs.c
+++ b/test/test_docs.c
@@ -105,7 +105,7 @@
 
 	m.u.ping.ndocs = told ? 1 : 0;
 	m.u.ping.doc[0] = (struct wire_version){docs_id(doc), told};
-	m.u.ping.news[m.u.ping.nnews++] = o->self;
+	m.u.ping.updates[m.u.ping.nupdates++] = o->self;
 	send_msg(l, &m);
 }
 
--- a/test/test_path.c
+++ b/test/test_path.c
@@ -329,7 +329,7 @@
 
 	start();
 	c.address = f->admin[0];
-	httpc(&c, &a);
+	httpc_perform(&c, &a);
 	CU_ASSERT_PTR_NOT_NULL(
 		strstr(a.text->str, "saddlehead_refused_total{reason=\"deadline\"}"));
 	CU_ASSERT_PTR_NOT_NULL(
