--- a/src/internal/eng.h
+++ b/src/internal/eng.h
@@ -16,8 +16,7 @@
 	const char *address;
 	const char *gen;  /* generation id, unique in the fleet */
 	const char *path; /* "/v1/completions" or "/v1/chat/completions" */
-	char *body; /* JSON, owned by the exchange from here; NULL: resume a running generation
-		     */
+	char *body;       /* JSON, owned by the exchange; NULL: resume a running generation */
 	uint32_t attempt;
 	uint32_t next; /* offset of the first token to send */
 	struct req *req;
--- a/src/internal/kv.h
+++ b/src/internal/kv.h
@@ -20,8 +20,8 @@
 
 /*
  * Writes key if its version is still expect (0: if it does not exist). Returns 0 and sets
- * *version, or -ECANCELED (it has another version), -EBUSY (over budget), -EINVAL (another
- * status), or -EIO, after which the value may have been written.
+ * *version (unless NULL), or -ECANCELED (it has another version), -EBUSY (over budget), -EINVAL
+ * (another status), or -EIO, after which the value may have been written.
  */
 int kv_put(const char *key, const char *value, size_t len, uint64_t expect, uint64_t *version,
 	   struct err *e);
--- a/src/internal/mux.h
+++ b/src/internal/mux.h
@@ -36,7 +36,7 @@
 void mux_xfer_ref(struct mux_xfer *x);
 void mux_xfer_unref(struct mux_xfer *x);
 void mux_xfer_header(struct mux_xfer *x, const char *line);
-/* Makes it a POST of body, which is freed with the exchange by g_free. */
+/* Makes it a POST and takes ownership of body, allocated by malloc or GLib. */
 void mux_xfer_post(struct mux_xfer *x, char *body, size_t n);
 
 /* These return 0, or -EAGAIN when the ring is full. mux_submit takes its own reference. */
--- a/src/internal/peer_impl.h
+++ b/src/internal/peer_impl.h
@@ -1,5 +1,4 @@
-/* Internals of the peer thread. Apart from the command ring, only that thread uses its state.
- */
+/* Internals of the peer thread. Only that thread uses its state, but for the command ring. */
 #ifndef SH_PEER_IMPL_H
 #define SH_PEER_IMPL_H
 #include "peer.h"
--- a/src/internal/peer_link.h
+++ b/src/internal/peer_link.h
@@ -8,7 +8,7 @@
 	int fd, connecting, outgoing, closed;
 	int lists_differ;     /* the peer's member list differs from ours */
 	int dropping;         /* messages were dropped since the output buffer was last empty */
-	uint64_t member;      /* 0 until its hello arrives */
+	uint64_t member;      /* 0: unknown until its hello arrives */
 	int64_t last_seen_us; /* when bytes last arrived */
 	int64_t doc_queued_us; /* when a large document was last queued; 0: never */
 	GByteArray *in;
--- a/src/internal/wire.h
+++ b/src/internal/wire.h
@@ -109,8 +109,6 @@
 /* Checks that the encoded lengths fit the frame; 0 or -1. wire_decode calls it first. */
 int wire_check(const char *body, size_t len);
 
-/* Decodes the frame's body; 0, or -EPROTO when it is not a valid message. m may point into
- * body.
- */
+/* Decodes the frame's body, into which m may point; 0, or -EPROTO when it is not valid. */
 int wire_decode(const char *body, size_t len, struct wire_msg *m, msgpack_unpacked *unpacked);
 #endif
--- a/src/link/peer.c
+++ b/src/link/peer.c
@@ -28,7 +28,7 @@
 #define SEED_HEARTBEATS 8  /* heartbeats between checks of the seeds */
 #define PUBLISH_US 100000
 #define FANOUT 3             /* heartbeats sent at once when a document changes or on leaving */
-#define FORGET_US 7200000000 /* dead members are kept longer than regions lose each other */
+#define FORGET_US 7200000000 /* dead members are kept for longer than regions lose contact */
 
 enum cmd_type { CMD_SEND, CMD_DOCS, CMD_LEAVE };
 
--- a/src/link/peer_docs.c
+++ b/src/link/peer_docs.c
@@ -11,7 +11,7 @@
 
 #define SILENT_US 700000 /* a fetch that receives nothing for so long is retried */
 #define SMALL_MAX 8192   /* bytes; up to this size a document is served at any time */
-#define COPIES_MAX 2     /* larger ones in flight: 1.7 s on a link of 10 Mbit/s */
+#define COPIES_MAX 2     /* larger ones in flight; two take 1.7 s on a link of 10 Mbit/s */
 #define COPY_US 5000000  /* the link is closed when a copy is not delivered by then */
 
 /* The last member that announced a newer version; member 0: none. */
--- a/src/standin/common_engine_model.c
+++ b/src/standin/common_engine_model.c
@@ -5,8 +5,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define ORPHAN_US \
-	15000000 /* a running generation without a reader is cancelled after so long */
+#define ORPHAN_US 15000000 /* without a reader, a running generation ends after this */
 #define LENGTH_MIN 8
 #define LENGTH_SPREAD 200
 
@@ -41,8 +40,7 @@
 	q->left_us = q->ended_us = clock_us();
 }
 
-/* Returns the number of prompt tokens in blocks that are cached, and caches the other blocks.
- */
+/* Returns the number of prompt tokens in cached blocks, and caches the other blocks. */
 static uint32_t cache_lookup(struct engine_model *m, const char *prompt)
 {
 	size_t at, n = strlen(prompt);
--- a/src/standin/engine_model.h
+++ b/src/standin/engine_model.h
@@ -57,7 +57,8 @@
 	uint64_t cache[CACHE_BLOCKS];
 	uint32_t cache_next;
 	uint64_t cache_seq;
-	int slow, frozen;
+	int slow;   /* factor on the time of a step; 0: 1 */
+	int frozen; /* no steps are made */
 	int64_t fence;
 	uint64_t last_local_id;
 };
