--- a/src/node/gen.c
+++ b/src/node/gen.c
@@ -56,7 +56,7 @@
 		.attempt = ++g->attempt,
 		.next = gen_next_offset(g),
 		.req = g->req,
-		.times = {node.cfg.connect_ms, node.cfg.first_byte_ms, node.cfg.stall_ms},
+		.timeouts = {node.cfg.connect_ms, node.cfg.first_byte_ms, node.cfg.stall_ms},
 	};
 
 	stop_exchange(g, 0);
