--- a/src/link/eng_generate.c
+++ b/src/link/eng_generate.c
@@ -39,7 +39,7 @@
 	if (strncmp(id, g->id, n) || id[n] != ':') {
 		met_add(MET_ANSWERS_DROPPED, 1);
 		post_failure(g, -EPROTO, STEP_STREAM, RETRY_CROSSED, 1, 0,
-			     "the answer belongs to another request");
+			     "the answer is another request's");
 		return -1;
 	}
 	*offset = (uint32_t)strtoul(id + n + 1, NULL, 10);
@@ -118,7 +118,7 @@
 			     "no connection");
 	else if (status && status != 200)
 		post_failure(g, -EBUSY, STEP_FIRST_BYTE, RETRY_ENGINE_STATUS, 0, status,
-			     "the engine refused the request");
+			     "the engine did not take it");
 	else if (!status)
 		post_failure(g, -ETIMEDOUT, STEP_FIRST_BYTE, RETRY_FIRST_BYTE, 1, 0,
 			     "no answer");
