--- a/bench/bench_claims.c
+++ b/bench/bench_claims.c
@@ -1,4 +1,5 @@
-/* Calls that may not be repeated: what a claim adds, and the platform's writes under load. */
+/* Calls that must not run twice: the latency that a claim adds, and the number of writes to
+ * the platform's store under load. */
 #include "clock.h"
 #include "fleet.h"
 #include <stdio.h>
@@ -7,7 +8,7 @@
 
 #define PAIRS 150
 #define THREADS 500
-#define OFFERED 1000 /* calls a second */
+#define OFFERED_PER_S 1000 /* calls per second */
 #define SECONDS 5
 
 static struct fleet *f;
@@ -43,20 +44,20 @@
 	return v[n / 2];
 }
 
-static void *offer(void *arg)
+static void *offer_load(void *arg)
 {
 	int64_t next = clock_us(), end = next + SECONDS * 1000000;
 	int entry = *(int *)arg % f->entries;
 
 	while (next < end) {
 		call_ms(1, entry);
-		next += 1000000LL * THREADS / OFFERED;
+		next += 1000000LL * THREADS / OFFERED_PER_S;
 		if (next > clock_us()) usleep((useconds_t)(next - clock_us()));
 	}
 	return NULL;
 }
 
-static double writes(void)
+static double store_writes(void)
 {
 	json_object *o;
 	double n;
@@ -75,29 +76,30 @@
 		.engines = 1,
 		.services = 4,
 		.settings = "\"where\": {\"ttl_ms\": 300}, \"limits\": {\"requests\": 100}"};
-	double with[PAIRS], without[PAIRS], before, seconds;
+	double claimed_ms[PAIRS], unclaimed_ms[PAIRS], before, seconds;
 	int64_t start;
 	pthread_t t[THREADS];
-	int i, number[THREADS];
+	int i, entry[THREADS];
 
 	f = fleet_start(&o);
 	for (i = 0; i < PAIRS; i++) {
-		with[i] = call_ms(1, i % f->entries);
-		without[i] = call_ms(0, i % f->entries);
+		claimed_ms[i] = call_ms(1, i % f->entries);
+		unclaimed_ms[i] = call_ms(0, i % f->entries);
 		usleep(50000);
 	}
-	printf("claim_added_ms_p50 %.2f\n", median(with, PAIRS) - median(without, PAIRS));
+	printf("claim_added_ms_p50 %.2f\n",
+	       median(claimed_ms, PAIRS) - median(unclaimed_ms, PAIRS));
 	answered = refused = 0;
-	before = writes();
+	before = store_writes();
 	start = clock_us();
 	for (i = 0; i < THREADS; i++) {
-		number[i] = i;
-		pthread_create(&t[i], NULL, offer, &number[i]);
+		entry[i] = i;
+		pthread_create(&t[i], NULL, offer_load, &entry[i]);
 	}
 	for (i = 0; i < THREADS; i++) pthread_join(t[i], NULL);
 	seconds = (double)(clock_us() - start) / 1e6;
 	printf("claims_answered_per_s %.0f\n", answered / seconds);
 	printf("claims_refused_per_s %.0f\n", refused / seconds);
-	printf("claims_writes_per_s %.1f\n", (writes() - before) / seconds);
+	printf("claims_writes_per_s %.1f\n", (store_writes() - before) / seconds);
 	return fleet_stop(f);
 }
--- a/src/base/fp.c
+++ b/src/base/fp.c
@@ -3,8 +3,8 @@
 #include <glib.h>
 #include <string.h>
 
-/* With its length before it, no part can be taken for the end of the one before. */
-static void add(GChecksum *c, const char *p, size_t len)
+/* The length prefix keeps the boundaries between parts unambiguous. */
+static void add_part(GChecksum *c, const char *p, size_t len)
 {
 	uint64_t n = GUINT64_TO_BE((uint64_t)len);
 
@@ -14,7 +14,7 @@
 
 static void add_text(GChecksum *c, const char *s)
 {
-	add(c, s ? s : "", s ? strlen(s) : 0);
+	add_part(c, s ? s : "", s ? strlen(s) : 0);
 }
 
 void fp_make(struct fp *f, const struct fp_parts *p)
@@ -27,7 +27,7 @@
 	add_text(c, p->host);
 	add_text(c, p->target);
 	add_text(c, p->key);
-	add(c, p->body, p->body_len);
+	add_part(c, p->body, p->body_len);
 	g_checksum_get_digest(c, sum, &n);
 	g_checksum_free(c);
 	memcpy(f->byte, sum, sizeof f->byte);
@@ -46,19 +46,19 @@
 	return h;
 }
 
-int fp_same(const void *a, const void *b)
+int fp_key_equal(const void *a, const void *b)
 {
 	return fp_equal(a, b);
 }
 
-void fp_write(const struct fp *f, char out[FP_HEX])
+void fp_format(const struct fp *f, char out[FP_HEX])
 {
 	int i;
 
 	for (i = 0; i < FP_BYTES; i++) g_snprintf(out + 2 * i, 3, "%02x", f->byte[i]);
 }
 
-int fp_read(const char *text, struct fp *f)
+int fp_parse(const char *text, struct fp *f)
 {
 	int i;
 
--- a/src/base/jlog.c
+++ b/src/base/jlog.c
@@ -8,32 +8,32 @@
 #include <string.h>
 #include <unistd.h>
 
-#define RING_LINES 1024   /* waiting lines: some 300 KB at most */
-#define LINES_PER_S 400   /* more only cost processor time that requests need */
-#define TAKE 64           /* lines written together */
-#define FLUSH_US 200000   /* lines wait so long for others: each write is a wake-up */
-#define STOP_US 500000    /* for what waits at the end */
-#define STACK_BYTES 65536 /* the thread only copies lines */
+#define RING_LINES 1024 /* queued lines, about 300 KB at most */
+#define LINES_PER_S 400 /* more would take processor time from requests */
+#define BATCH_LINES 64  /* most lines per write */
+#define FLUSH_US 200000 /* pause after a partial batch, to collect more lines per wake-up */
+#define STOP_TIMEOUT_US 500000 /* to write the queued lines on stop */
+#define STACK_BYTES 65536      /* enough for a thread that only copies lines */
 
 static struct ring ring;
 static pthread_t thread;
 static int started;
 static atomic_int stopping;
 static atomic_uint_fast64_t dropped;
-static uint64_t told_dropped;
+static uint64_t reported_dropped;
 static char instance[64];
-static int64_t second_us;
-static int in_second;
+static int64_t second_start_us;
+static int lines_in_second;
 
 static void write_all(const char *p, size_t n)
 {
 	while (n) {
-		ssize_t done = write(STDOUT_FILENO, p, n);
+		ssize_t written = write(STDOUT_FILENO, p, n);
 
-		if (done < 0 && errno == EINTR) continue;
-		if (done <= 0) return; /* nowhere left to say so */
-		p += done;
-		n -= done;
+		if (written < 0 && errno == EINTR) continue;
+		if (written <= 0) return; /* there is no other place to report a failed write */
+		p += written;
+		n -= written;
 	}
 }
 
@@ -49,20 +49,20 @@
 	write_all(out->str, out->len);
 }
 
-static void *run(void *arg)
+static void *writer_main(void *arg)
 {
 	GString *out = g_string_new(NULL);
-	void *line[TAKE];
+	void *line[BATCH_LINES];
 	uint32_t n;
 
 	(void)arg;
 	while (!stopping) {
-		n = ring_wait(&ring, line, TAKE, clock_us() + 1000000);
+		n = ring_wait(&ring, line, BATCH_LINES, clock_us() + 1000000);
 		if (!n) continue;
 		write_lines(out, line, n);
-		if (n < TAKE && !stopping) usleep(FLUSH_US);
+		if (n < BATCH_LINES && !stopping) usleep(FLUSH_US);
 	}
-	while ((n = ring_take(&ring, line, TAKE))) write_lines(out, line, n);
+	while ((n = ring_take(&ring, line, BATCH_LINES))) write_lines(out, line, n);
 	g_string_free(out, TRUE);
 	return NULL;
 }
@@ -77,7 +77,7 @@
 	if (rc) return rc;
 	pthread_attr_init(&attr);
 	pthread_attr_setstacksize(&attr, STACK_BYTES);
-	rc = -pthread_create(&thread, &attr, run, NULL);
+	rc = -pthread_create(&thread, &attr, writer_main, NULL);
 	pthread_attr_destroy(&attr);
 	started = !rc;
 	return rc;
@@ -85,15 +85,15 @@
 
 void jlog_stop(void)
 {
-	struct timespec until;
+	struct timespec deadline;
 
 	if (!started) return;
 	stopping = 1;
-	clock_gettime(CLOCK_REALTIME, &until);
-	until.tv_nsec += STOP_US * 1000;
-	until.tv_sec += until.tv_nsec / 1000000000;
-	until.tv_nsec %= 1000000000;
-	pthread_timedjoin_np(thread, NULL, &until);
+	clock_gettime(CLOCK_REALTIME, &deadline);
+	deadline.tv_nsec += STOP_TIMEOUT_US * 1000;
+	deadline.tv_sec += deadline.tv_nsec / 1000000000;
+	deadline.tv_nsec %= 1000000000;
+	pthread_timedjoin_np(thread, NULL, &deadline);
 	started = 0;
 }
 
@@ -129,11 +129,11 @@
 {
 	int64_t now = clock_us();
 
-	if (now - second_us >= 1000000) {
-		second_us = now;
-		in_second = 0;
+	if (now - second_start_us >= 1000000) {
+		second_start_us = now;
+		lines_in_second = 0;
 	}
-	return ++in_second > LINES_PER_S;
+	return ++lines_in_second > LINES_PER_S;
 }
 
 void jlog_end(GString *line)
@@ -143,10 +143,11 @@
 		g_string_free(line, TRUE);
 		return;
 	}
-	if (dropped != told_dropped) jlog_int(line, "lines_dropped", dropped - told_dropped);
+	if (dropped != reported_dropped)
+		jlog_int(line, "lines_dropped", dropped - reported_dropped);
 	g_string_append(line, "}\n");
 	if (!ring_push(&ring, line)) {
-		told_dropped = dropped;
+		reported_dropped = dropped;
 		return;
 	}
 	dropped++;
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-static GLogLevelFlags most = G_LOG_LEVEL_INFO;
+static GLogLevelFlags max_level = G_LOG_LEVEL_INFO;
 static int as_json;
 
 static const char *level_name(GLogLevelFlags l)
@@ -17,7 +17,7 @@
 	return l & G_LOG_LEVEL_INFO ? "info" : "debug";
 }
 
-static const char *field(const GLogField *f, gsize n, const char *key)
+static const char *field_value(const GLogField *f, gsize n, const char *key)
 {
 	gsize i;
 
@@ -37,15 +37,16 @@
 	jsonw_str(s, v);
 }
 
-static GLogWriterOutput writer(GLogLevelFlags l, const GLogField *f, gsize n, gpointer user)
+static GLogWriterOutput write_entry(GLogLevelFlags l, const GLogField *f, gsize n,
+				    gpointer user)
 {
-	const char *part = field(f, n, "SH_PART"), *msg = field(f, n, "MESSAGE");
+	const char *part = field_value(f, n, "SH_PART"), *msg = field_value(f, n, "MESSAGE");
 	GDateTime *now;
 	GString *s;
 	char *at;
 
 	(void)user;
-	if ((l & G_LOG_LEVEL_MASK) > most) return G_LOG_WRITER_HANDLED;
+	if ((l & G_LOG_LEVEL_MASK) > max_level) return G_LOG_WRITER_HANDLED;
 	now = g_date_time_new_now_utc();
 	at = g_date_time_format(now, "%Y-%m-%dT%H:%M:%S.%fZ");
 	s = g_string_new(NULL);
@@ -58,9 +59,9 @@
 		g_string_append_printf(s, "%s %s %s: %s", at, level_name(l),
 				       part ? part : "glib", msg ? msg : "");
 	}
-	add_field(s, "group", field(f, n, "SH_GROUP"));
-	add_field(s, "request", field(f, n, "SH_REQUEST"));
-	add_field(s, "engine", field(f, n, "SH_ENGINE"));
+	add_field(s, "group", field_value(f, n, "SH_GROUP"));
+	add_field(s, "request", field_value(f, n, "SH_REQUEST"));
+	add_field(s, "engine", field_value(f, n, "SH_ENGINE"));
 	g_string_append(s, as_json ? "}\n" : "\n");
 	fwrite(s->str, 1, s->len, stderr);
 	g_string_free(s, TRUE);
@@ -72,18 +73,18 @@
 int log_init(const char *level, const char *format)
 {
 	if (!strcmp(level, "error"))
-		most = G_LOG_LEVEL_ERROR;
+		max_level = G_LOG_LEVEL_ERROR;
 	else if (!strcmp(level, "warning"))
-		most = G_LOG_LEVEL_WARNING;
+		max_level = G_LOG_LEVEL_WARNING;
 	else if (!strcmp(level, "info"))
-		most = G_LOG_LEVEL_INFO;
+		max_level = G_LOG_LEVEL_INFO;
 	else if (!strcmp(level, "debug"))
-		most = G_LOG_LEVEL_DEBUG;
+		max_level = G_LOG_LEVEL_DEBUG;
 	else
 		return -EINVAL;
 	if (strcmp(format, "text") && strcmp(format, "json")) return -EINVAL;
 	as_json = !strcmp(format, "json");
-	g_log_set_writer_func(writer, NULL, NULL);
+	g_log_set_writer_func(write_entry, NULL, NULL);
 	return 0;
 }
 
@@ -95,7 +96,7 @@
 	gsize n = 0;
 	va_list ap;
 
-	if (level > most) return;
+	if (level > max_level) return;
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof text, fmt, ap);
 	va_end(ap);
--- a/src/base/met.c
+++ b/src/base/met.c
@@ -146,13 +146,13 @@
 
 static void write_hist(GString *out, enum met_hist h, const struct met_group *g)
 {
-	const struct hist *t = &g->hist[h];
+	const struct hist *hist = &g->hist[h];
 	uint64_t total = 0;
 	char le[24];
 	int i;
 
 	for (i = 0; i < BUCKETS; i++) {
-		total += t->bucket[i];
+		total += hist->bucket[i];
 		if (bounds[i] == INT64_MAX)
 			strcpy(le, "+Inf");
 		else
@@ -163,7 +163,7 @@
 			hist_names[h], g->name, le, total);
 	}
 	g_string_append_printf(out, "saddlehead_%s_sum{group=\"%s\"} %g\n", hist_names[h],
-			       g->name, (double)t->sum_us / 1e6);
+			       g->name, (double)hist->sum_us / 1e6);
 	g_string_append_printf(out, "saddlehead_%s_count{group=\"%s\"} %" G_GUINT64_FORMAT "\n",
 			       hist_names[h], g->name, total);
 }
--- a/src/base/reason.c
+++ b/src/base/reason.c
@@ -34,7 +34,7 @@
 	[REF_CRASHES] = {"crashes_engines", 502},
 	[REF_SUSPECT] = {"may_crash_engines", 503},
 	[REF_DC_DRAINED] = {"data_centre_drained", 503},
-	[REF_PACED] = {"servers_paced", 503},
+	[REF_RATE_LIMITED] = {"servers_paced", 503},
 	[REF_SLOW_READER] = {"reader_too_slow", 502},
 };
 
--- a/src/base/ring.c
+++ b/src/base/ring.c
@@ -32,7 +32,7 @@
 
 int ring_push(struct ring *r, void *item)
 {
-	int first;
+	int was_empty;
 
 	pthread_mutex_lock(&r->lock);
 	if (r->count == r->cap) {
@@ -40,10 +40,10 @@
 		return -EAGAIN;
 	}
 	r->slot[(r->head + r->count) % r->cap] = item;
-	first = r->count++ == 0;
-	if (first && r->wake_fd < 0) pthread_cond_signal(&r->ready);
+	was_empty = r->count++ == 0;
+	if (was_empty && r->wake_fd < 0) pthread_cond_signal(&r->ready);
 	pthread_mutex_unlock(&r->lock);
-	if (first && r->wake_fd >= 0) eventfd_write(r->wake_fd, 1);
+	if (was_empty && r->wake_fd >= 0) eventfd_write(r->wake_fd, 1);
 	return 0;
 }
 
@@ -61,22 +61,22 @@
 
 uint32_t ring_take(struct ring *r, void **out, uint32_t max)
 {
-	eventfd_t seen;
+	eventfd_t pushes;
 	uint32_t n;
-	int left;
+	int remaining;
 
-	if (r->wake_fd >= 0) eventfd_read(r->wake_fd, &seen);
+	if (r->wake_fd >= 0) eventfd_read(r->wake_fd, &pushes);
 	pthread_mutex_lock(&r->lock);
 	n = take_locked(r, out, max);
-	left = r->count > 0;
+	remaining = r->count > 0;
 	pthread_mutex_unlock(&r->lock);
-	if (left && r->wake_fd >= 0) eventfd_write(r->wake_fd, 1);
+	if (remaining && r->wake_fd >= 0) eventfd_write(r->wake_fd, 1);
 	return n;
 }
 
 uint32_t ring_wait(struct ring *r, void **out, uint32_t max, int64_t deadline_us)
 {
-	struct timespec ts = clock_spec(deadline_us);
+	struct timespec ts = clock_monotonic_spec(deadline_us);
 	uint32_t n;
 
 	pthread_mutex_lock(&r->lock);
--- a/src/base/slot.c
+++ b/src/base/slot.c
@@ -27,9 +27,9 @@
 	e = &t->entry[i];
 	t->free_head = e->next_free;
 	e->item = item;
-	e->uses++;
+	e->generation++;
 	t->count++;
-	return (uint64_t)e->uses << 32 | i;
+	return (uint64_t)e->generation << 32 | i;
 }
 
 static struct slot_entry *find(const struct slot_table *t, uint64_t handle)
@@ -37,7 +37,7 @@
 	uint32_t i = (uint32_t)handle;
 
 	if (i >= t->cap) return NULL;
-	if (t->entry[i].uses != handle >> 32 || !t->entry[i].item) return NULL;
+	if (t->entry[i].generation != handle >> 32 || !t->entry[i].item) return NULL;
 	return &t->entry[i];
 }
 
--- a/src/bench/one.c
+++ b/src/bench/one.c
@@ -1,15 +1,15 @@
-/* One request of the load, and its times. */
+/* Sends one request of the load and records its times. */
 #include "clock.h"
 #include "eng.h"
 #include "load.h"
 #include <math.h>
 #include <string.h>
 
-#define STALL_GAP_US 250000 /* as the daemons count stall */
+#define STALL_GAP_US 250000 /* the daemons use the same limit */
 #define TIMEOUT_MS 120000L
-#define BODY_KEEP 4096 /* of an answer that is no stream, for its error code */
+#define BODY_KEEP_BYTES 4096 /* of an answer that is not a stream, to find its error code */
 
-struct one {
+struct load_request {
 	struct load *load;
 	enum load_side side;
 	int group, call, stream;
@@ -20,7 +20,7 @@
 	int done;
 };
 
-static void load_count_code(struct load_seen *s, const char *code)
+static void load_count_code(struct load_stats *s, const char *code)
 {
 	int i;
 
@@ -31,48 +31,48 @@
 	s->code[i].n++;
 }
 
-static void sample(GArray *a, int64_t us)
+static void add_sample(GArray *a, int64_t us)
 {
 	double v = (double)us;
 
 	g_array_append_val(a, v);
 }
 
-static struct load_seen *seen(const struct one *o)
+static struct load_stats *stats_of(const struct load_request *o)
 {
-	return &o->load->seen[o->side][o->group];
+	return &o->load->stats[o->side][o->group];
 }
 
-static void on_token(struct one *o, int64_t now)
+static void on_token(struct load_request *o, int64_t now)
 {
 	int64_t gap = now - o->last_us;
 
 	if (!o->tokens++) {
-		sample(seen(o)->first, now - o->sent_us);
+		add_sample(stats_of(o)->first_token, now - o->sent_us);
 		o->stall_us = now - o->sent_us;
 	} else {
-		sample(seen(o)->between, gap);
+		add_sample(stats_of(o)->between_tokens, gap);
 		if (gap > STALL_GAP_US) o->stall_us += gap - STALL_GAP_US;
 	}
 	o->last_us = now;
-	seen(o)->tokens++;
+	stats_of(o)->tokens++;
 }
 
-static void count_error(struct one *o, const char *json)
+static void count_error(struct load_request *o, const char *json)
 {
 	json_object *root = json_tokener_parse(json), *e, *c;
 
 	if (root && json_object_object_get_ex(root, "error", &e) &&
 	    json_object_object_get_ex(e, "code", &c))
-		load_count_code(seen(o), json_object_get_string(c));
+		load_count_code(stats_of(o), json_object_get_string(c));
 	else
-		load_count_code(seen(o), "broken_off");
+		load_count_code(stats_of(o), "broken_off");
 	json_object_put(root);
 }
 
 static int on_event(struct sse *s, void *arg)
 {
-	struct one *o = arg;
+	struct load_request *o = arg;
 
 	if (!strcmp(s->data->str, "[DONE]"))
 		o->done = 1;
@@ -85,7 +85,7 @@
 
 static int on_data(struct mux_xfer *x, const char *p, size_t n)
 {
-	struct one *o = x->user;
+	struct load_request *o = x->user;
 	long status;
 	int rc = 0;
 
@@ -93,23 +93,23 @@
 	pthread_mutex_lock(&o->load->lock);
 	if (o->stream && status == 200)
 		rc = sse_feed(&o->sse, p, n, on_event, o);
-	else if (o->body->len < BODY_KEEP)
+	else if (o->body->len < BODY_KEEP_BYTES)
 		g_string_append_len(o->body, p, (gssize)n);
 	pthread_mutex_unlock(&o->load->lock);
 	return rc;
 }
 
-static void finish(struct one *o, CURLcode rc, long status)
+static void record_outcome(struct load_request *o, CURLcode rc, long status)
 {
-	struct load_seen *s = seen(o);
+	struct load_stats *s = stats_of(o);
 	int64_t now = clock_us();
 
 	if (rc == CURLE_OK && status == 200 && (!o->stream || o->done)) {
-		s->whole++;
+		s->completed++;
 		if (o->call)
-			sample(s->call, now - o->sent_us);
+			add_sample(s->call, now - o->sent_us);
 		else
-			sample(s->stall, o->stream ? o->stall_us : now - o->sent_us);
+			add_sample(s->stall, o->stream ? o->stall_us : now - o->sent_us);
 		return;
 	}
 	if (rc == CURLE_OK && status >= 400) {
@@ -117,38 +117,38 @@
 		count_error(o, o->body->str);
 		return;
 	}
-	s->broken++;
+	s->failed++;
 	if (rc != CURLE_OK) load_count_code(s, "no_answer");
 }
 
 static void on_done(struct mux_xfer *x, CURLcode rc, long status)
 {
-	struct one *o = x->user;
+	struct load_request *o = x->user;
 
 	pthread_mutex_lock(&o->load->lock);
-	finish(o, rc, status);
-	o->load->open--;
+	record_outcome(o, rc, status);
+	o->load->in_flight--;
 	pthread_mutex_unlock(&o->load->lock);
 }
 
 static void on_free(struct mux_xfer *x)
 {
-	struct one *o = x->user;
+	struct load_request *o = x->user;
 
 	sse_free(&o->sse);
 	g_string_free(o->body, TRUE);
 	g_free(o);
 }
 
-/* Normal by Box and Muller. */
-static double normal(GRand *r)
+/* Draws from the standard normal distribution (Box-Muller). */
+static double standard_normal(GRand *r)
 {
 	double u = 1 - g_rand_double(r), v = g_rand_double(r);
 
 	return sqrt(-2 * log(u)) * cos(2 * G_PI * v);
 }
 
-static char *prompt(GRand *r, int tokens)
+static char *random_prompt(GRand *r, int tokens)
 {
 	char *s = g_malloc((gsize)tokens * 4 + 1);
 	int i;
@@ -158,10 +158,11 @@
 	return s;
 }
 
-static char *body(struct load *l, const struct load_group *g, int stream)
+static char *request_body(struct load *l, const struct load_group *g, int stream)
 {
-	double out = g->out_median * exp(g->out_sigma * normal(l->rand));
-	char *p = prompt(l->rand, g_rand_int_range(l->rand, g->prompt_min, g->prompt_max + 1)),
+	double out = g->out_median * exp(g->out_sigma * standard_normal(l->rand));
+	char *p = random_prompt(l->rand,
+				g_rand_int_range(l->rand, g->prompt_min, g->prompt_max + 1)),
 	     *s;
 
 	if (l->out_tokens) out = l->out_tokens;
@@ -191,11 +192,11 @@
 	return x;
 }
 
-/* Called by the thread that draws the load. */
+/* Called only by the thread that draws the load: l->rand has no lock. */
 void load_send(struct load *l, enum load_side side, int group, int call, const char *address)
 {
 	const struct load_group *g = &l->group[group];
-	struct one *o = g_new0(struct one, 1);
+	struct load_request *o = g_new0(struct load_request, 1);
 	struct mux_xfer *x = open_xfer(g, address, call);
 	char *text;
 
@@ -206,7 +207,7 @@
 	o->stream = !call && g_rand_double(l->rand) < g->stream_share;
 	o->body = g_string_new(NULL);
 	sse_init(&o->sse);
-	text = call ? g_strdup("{\"ask\":1}") : body(l, g, o->stream);
+	text = call ? g_strdup("{\"ask\":1}") : request_body(l, g, o->stream);
 	mux_xfer_post(x, text, strlen(text));
 	x->user = o;
 	x->on_data = on_data;
@@ -214,13 +215,13 @@
 	x->on_free = on_free;
 	o->sent_us = clock_us();
 	pthread_mutex_lock(&l->lock);
-	seen(o)->sent++;
-	l->open++;
+	stats_of(o)->sent++;
+	l->in_flight++;
 	pthread_mutex_unlock(&l->lock);
 	if (mux_submit(l->mux, x)) {
 		pthread_mutex_lock(&l->lock);
-		seen(o)->broken++;
-		l->open--;
+		stats_of(o)->failed++;
+		l->in_flight--;
 		pthread_mutex_unlock(&l->lock);
 	}
 	mux_xfer_unref(x);
--- a/src/bench/presets.c
+++ b/src/bench/presets.c
@@ -1,4 +1,4 @@
-/* The users' two mixes. */
+/* Request mixes: the two workloads of the users, and one for measuring the relay. */
 #include "load.h"
 #include <string.h>
 
@@ -48,7 +48,7 @@
 	 .out_sigma = 1.0},
 };
 
-/* Nothing but streams, all alike: for measuring the relay. */
+/* Only streams of one kind, for measuring the relay. */
 static const struct load_group streams[] = {
 	{.name = "members",
 	 .model = "brew",
@@ -60,7 +60,7 @@
 	 .out_sigma = 0},
 };
 
-static void add(struct load *l, const struct load_group *g, int n, double share)
+static void add_groups(struct load *l, const struct load_group *g, int n, double share)
 {
 	int i;
 
@@ -73,14 +73,14 @@
 int load_preset(struct load *l, const char *name)
 {
 	if (!strcmp(name, "roasting"))
-		add(l, roasting, 2, 1);
+		add_groups(l, roasting, 2, 1);
 	else if (!strcmp(name, "calendar"))
-		add(l, calendar, 2, 1);
+		add_groups(l, calendar, 2, 1);
 	else if (!strcmp(name, "streams"))
-		add(l, streams, 1, 1);
+		add_groups(l, streams, 1, 1);
 	else if (!strcmp(name, "both")) {
-		add(l, roasting, 2, 0.5);
-		add(l, calendar, 2, 0.5);
+		add_groups(l, roasting, 2, 0.5);
+		add_groups(l, calendar, 2, 0.5);
 	} else {
 		return -1;
 	}
--- a/src/bench/run.c
+++ b/src/bench/run.c
@@ -1,4 +1,5 @@
-/* Drawing the load: arrivals at random times, addresses from "where", kept for its time. */
+/* Draws the load: Poisson arrivals, sent to entries that /v1/where names. Its answers are
+ * cached for their time to live. */
 #include "clock.h"
 #include "httpc.h"
 #include "load.h"
@@ -7,10 +8,10 @@
 #include <string.h>
 #include <unistd.h>
 
-#define DRAIN_US 60000000 /* what is open after the load is waited for so long */
+#define DRAIN_US 60000000 /* longest wait for requests in flight after the load ends */
 #define PROGRESS_US 1000000
 
-static int strings(json_object *o, const char *key, const char **out)
+static int read_strings(json_object *o, const char *key, const char **out)
 {
 	json_object *list;
 	int i, n;
@@ -23,7 +24,7 @@
 	return n;
 }
 
-static void find_key(struct load_group *g, json_object *groups)
+static void read_group_key(struct load_group *g, json_object *groups)
 {
 	json_object *o, *name, *key;
 	size_t i;
@@ -37,19 +38,19 @@
 	}
 }
 
-int load_fleet(struct load *l, json_object *fleet)
+int load_read_fleet(struct load *l, json_object *fleet)
 {
 	json_object *groups;
 	int i;
 
-	l->nentries = strings(fleet, "entries", l->entries);
-	l->nengines = strings(fleet, "engines", l->engines);
+	l->nentries = read_strings(fleet, "entries", l->entries);
+	l->nengines = read_strings(fleet, "engines", l->engines);
 	if (!l->nentries || !json_object_object_get_ex(fleet, "groups", &groups)) return -1;
-	for (i = 0; i < l->ngroups; i++) find_key(&l->group[i], groups);
+	for (i = 0; i < l->ngroups; i++) read_group_key(&l->group[i], groups);
 	return 0;
 }
 
-static int ask_where(struct load *l, const char *address)
+static int fetch_where(struct load *l, const char *address)
 {
 	struct httpc_call c = {.method = "GET", .address = address, .timeout_ms = 1000};
 	char *path = g_strdup_printf("/v1/where?group=%s", l->group[0].name);
@@ -69,7 +70,7 @@
 				  json_object_get_string(
 					  json_object_array_get_idx(list, (size_t)i)),
 				  sizeof l->where[i]);
-		l->where_until_us = clock_us() + json_object_get_int64(ttl) * 1000;
+		l->where_expires_us = clock_us() + json_object_get_int64(ttl) * 1000;
 	}
 	json_object_put(o);
 	httpc_free(&a);
@@ -77,15 +78,15 @@
 	return l->nwhere;
 }
 
-static const char *entry(struct load *l)
+static const char *choose_entry(struct load *l)
 {
 	int i, from;
 
-	if (!l->nwhere || clock_us() > l->where_until_us) {
+	if (!l->nwhere || clock_us() > l->where_expires_us) {
 		l->nwhere = 0;
 		from = g_rand_int_range(l->rand, 0, l->nentries);
 		for (i = 0;
-		     i < l->nentries && !ask_where(l, l->entries[(from + i) % l->nentries]);
+		     i < l->nentries && !fetch_where(l, l->entries[(from + i) % l->nentries]);
 		     i++)
 			;
 	}
@@ -110,35 +111,35 @@
 	int g = draw_group(l);
 	int call = l->group[g].service && g_rand_double(l->rand) < l->group[g].call_share;
 	int direct = !call && g_rand_double(l->rand) < l->direct_share;
-	const char *at =
-		direct ? l->engines[g_rand_int_range(l->rand, 0, l->nengines)] : entry(l);
+	const char *at = direct ? l->engines[g_rand_int_range(l->rand, 0, l->nengines)]
+				: choose_entry(l);
 
 	if (at) load_send(l, direct ? LOAD_DIRECT : LOAD_SADDLEHEAD, g, call, at);
 }
 
-static void progress(const struct load *l, int64_t start, int64_t now)
+static void print_progress(const struct load *l, int64_t start, int64_t now)
 {
-	uint64_t sent = 0, whole = 0, refused = 0;
+	uint64_t sent = 0, completed = 0, refused = 0;
 	int s, g;
 
-	for (s = 0; s < LOAD_SIDES; s++)
+	for (s = 0; s < LOAD_SIDE_MAX; s++)
 		for (g = 0; g < l->ngroups; g++) {
-			sent += l->seen[s][g].sent;
-			whole += l->seen[s][g].whole;
-			refused += l->seen[s][g].refused;
+			sent += l->stats[s][g].sent;
+			completed += l->stats[s][g].completed;
+			refused += l->stats[s][g].refused;
 		}
 	fprintf(stderr, "%4lld s: %llu sent, %llu whole, %llu refused, %llu open\n",
 		(long long)(now - start) / 1000000, (unsigned long long)sent,
-		(unsigned long long)whole, (unsigned long long)refused,
-		(unsigned long long)l->open);
+		(unsigned long long)completed, (unsigned long long)refused,
+		(unsigned long long)l->in_flight);
 }
 
-static uint64_t still_open(struct load *l)
+static uint64_t requests_in_flight(struct load *l)
 {
 	uint64_t n;
 
 	pthread_mutex_lock(&l->lock);
-	n = l->open;
+	n = l->in_flight;
 	pthread_mutex_unlock(&l->lock);
 	return n;
 }
@@ -146,12 +147,12 @@
 void load_run(struct load *l)
 {
 	int64_t start = clock_us(), end = start + l->seconds * 1000000, next = start, now,
-		tell = start;
+		next_progress = start;
 
 	while ((now = clock_us()) < end) {
-		if (now >= tell && !l->quiet) {
-			progress(l, start, now);
-			tell = now + PROGRESS_US;
+		if (now >= next_progress && !l->quiet) {
+			print_progress(l, start, now);
+			next_progress = now + PROGRESS_US;
 		}
 		if (now < next) {
 			usleep((useconds_t)(next - now > 20000 ? 20000 : next - now));
@@ -160,7 +161,7 @@
 		send_one(l);
 		next += (int64_t)(-log(1 - g_rand_double(l->rand)) / l->rate * 1e6);
 	}
-	while (still_open(l) && clock_us() < end + DRAIN_US) usleep(10000);
+	while (requests_in_flight(l) && clock_us() < end + DRAIN_US) usleep(10000);
 }
 
 uint64_t load_preemptions(const struct load *l)
--- a/src/ctl/ctl.h
+++ b/src/ctl/ctl.h
@@ -1,4 +1,4 @@
-/* The command line's parts. */
+/* Commands of saddleheadctl and what they share. */
 #ifndef SH_CTL_H
 #define SH_CTL_H
 #include "httpc.h"
@@ -9,12 +9,13 @@
 	int json;
 };
 
-/* Sends one call; prints the error and returns -1 unless the status is 2xx. */
+/* Sends one request to the admin interface. Prints an error and returns -1 unless the status is
+ * 2xx. */
 int ctl_call(const struct ctl *c, const char *method, const char *path, const char *body,
 	     struct httpc_answer *a);
 
-/* Prints a list of objects as a table with these columns. */
-void ctl_print(json_object *list, const char *const *column, int n);
+/* Prints an array of objects as a table with these columns. */
+void ctl_print_table(json_object *list, const char *const *column, int n);
 
 int ctl_table(const struct ctl *c, const char **arg);
 int ctl_group(const struct ctl *c, const char **arg);
--- a/src/ctl/ctl_print.c
+++ b/src/ctl/ctl_print.c
@@ -14,7 +14,7 @@
 	return json_object_get_string(v);
 }
 
-void ctl_print(json_object *list, const char *const *column, int n)
+void ctl_print_table(json_object *list, const char *const *column, int n)
 {
 	size_t i, rows = json_object_array_length(list), len, width[COLUMNS_MAX];
 	int k;
--- a/src/ctl/ctl_table.c
+++ b/src/ctl/ctl_table.c
@@ -1,4 +1,4 @@
-/* saddleheadctl table and group. */
+/* The commands "saddleheadctl table" and "saddleheadctl group". */
 #include "ctl.h"
 #include "tbl.h"
 #include <stdio.h>
@@ -27,7 +27,7 @@
 	return g_string_free(s, FALSE);
 }
 
-static char *pretty(const char *text)
+static char *pretty_json(const char *text)
 {
 	json_object *o = json_tokener_parse(text);
 	char *out = g_strdup(json_object_to_json_string_ext(
@@ -38,14 +38,14 @@
 	return out;
 }
 
-static int get(const struct ctl *c)
+static int get_table(const struct ctl *c)
 {
 	struct httpc_answer a;
 	int rc = ctl_call(c, "GET", TABLE_PATH, NULL, &a);
 	char *text;
 
 	if (!rc) {
-		text = pretty(a.text->str);
+		text = pretty_json(a.text->str);
 		puts(text);
 		fprintf(stderr, "version %s\n", a.etag);
 		g_free(text);
@@ -54,7 +54,7 @@
 	return rc;
 }
 
-static int put_text(const struct ctl *c, const char *text)
+static int put_table_text(const struct ctl *c, const char *text)
 {
 	struct httpc_answer a;
 	int rc = ctl_call(c, "PUT", TABLE_PATH, text, &a);
@@ -64,13 +64,13 @@
 	return rc;
 }
 
-static int put(const struct ctl *c, const char *path)
+static int put_table(const struct ctl *c, const char *path)
 {
 	char *text = read_file(path);
 	int rc;
 
 	if (!text) return -1;
-	rc = put_text(c, text);
+	rc = put_table_text(c, text);
 	g_free(text);
 	return rc;
 }
@@ -98,7 +98,7 @@
 	}
 }
 
-static json_object *part(json_object *root, const char *key)
+static json_object *member_or_empty(json_object *root, const char *key)
 {
 	json_object *v;
 
@@ -106,17 +106,17 @@
 	return json_object_new_object();
 }
 
-static void diff_part(json_object *from, json_object *to, const char *key, int *n)
+static void diff_member(json_object *from, json_object *to, const char *key, int *n)
 {
-	json_object *a = part(from, key), *b = part(to, key);
+	json_object *a = member_or_empty(from, key), *b = member_or_empty(to, key);
 
 	diff_rows(key, a, b, n);
 	json_object_put(a);
 	json_object_put(b);
 }
 
-/* What put would change. */
-static int diff(const struct ctl *c, const char *path)
+/* Prints the changes that put_table would make. */
+static int diff_table(const struct ctl *c, const char *path)
 {
 	struct httpc_answer a;
 	char *text = read_file(path);
@@ -133,8 +133,8 @@
 	to = json_tokener_parse(text);
 	if (!to) fprintf(stderr, "saddleheadctl: %s is not JSON\n", path);
 	if (to) {
-		diff_part(from, to, "services", &n);
-		diff_part(from, to, "groups", &n);
+		diff_member(from, to, "services", &n);
+		diff_member(from, to, "groups", &n);
 		if (!n) puts("no difference");
 	}
 	json_object_put(from);
@@ -144,11 +144,11 @@
 	return to ? 0 : -1;
 }
 
-/* The operator's editor is theirs: the tool starts it as any command line tool would. */
-static int edit(const struct ctl *c)
+/* Runs $EDITOR through the shell, as other command line tools do: it may contain arguments. */
+static int edit_table(const struct ctl *c)
 {
 	const char *editor = getenv("EDITOR") ? getenv("EDITOR") : "vi";
-	struct ctl mine = *c;
+	struct ctl conditional = *c;
 	struct httpc_answer a;
 	char path[] = "/tmp/saddlehead-table-XXXXXX", *text, *quoted, *cmd;
 	int fd, rc = ctl_call(c, "GET", TABLE_PATH, NULL, &a);
@@ -158,13 +158,13 @@
 		return rc;
 	}
 	fd = mkstemp(path);
-	text = pretty(a.text->str);
+	text = pretty_json(a.text->str);
 	if (fd < 0 || write(fd, text, strlen(text)) < 0) rc = -1;
 	if (fd >= 0) close(fd);
 	quoted = g_shell_quote(path);
 	cmd = g_strdup_printf("%s %s", editor, quoted);
-	mine.if_match = a.etag;
-	if (!rc && !system(cmd)) rc = put(&mine, path);
+	conditional.if_match = a.etag;
+	if (!rc && !system(cmd)) rc = put_table(&conditional, path);
 	unlink(path);
 	g_free(cmd);
 	g_free(quoted);
@@ -175,13 +175,13 @@
 
 int ctl_table(const struct ctl *c, const char **arg)
 {
-	const char *what = arg[0] ? arg[0] : "get";
+	const char *command = arg[0] ? arg[0] : "get";
 
-	if (!strcmp(what, "get")) return get(c);
-	if (!strcmp(what, "edit")) return edit(c);
-	if (!strcmp(what, "status")) return ctl_list(c, "status");
-	if (!strcmp(what, "put") && arg[1]) return put(c, arg[1]);
-	if (!strcmp(what, "diff") && arg[1]) return diff(c, arg[1]);
+	if (!strcmp(command, "get")) return get_table(c);
+	if (!strcmp(command, "edit")) return edit_table(c);
+	if (!strcmp(command, "status")) return ctl_list(c, "status");
+	if (!strcmp(command, "put") && arg[1]) return put_table(c, arg[1]);
+	if (!strcmp(command, "diff") && arg[1]) return diff_table(c, arg[1]);
 	fprintf(stderr, "saddleheadctl: table get | put FILE | diff FILE | edit | status\n");
 	return -2;
 }
@@ -211,7 +211,7 @@
 	return rc;
 }
 
-static json_object *row_of(const char *name, const struct tbl_group *g)
+static json_object *group_row(const char *name, const struct tbl_group *g)
 {
 	json_object *row = json_object_new_object();
 
@@ -245,11 +245,11 @@
 	t = tbl_parse(a.text->str, 0, &e);
 	list = json_object_new_array();
 	for (i = 0; t && i < t->ngroups; i++)
-		json_object_array_add(list, row_of(t->group[i].name, &t->group[i]));
+		json_object_array_add(list, group_row(t->group[i].name, &t->group[i]));
 	if (c->json)
 		puts(json_object_to_json_string_ext(list, JSON_C_TO_STRING_PLAIN));
 	else
-		ctl_print(list, columns, 8);
+		ctl_print_table(list, columns, 8);
 	json_object_put(list);
 	tbl_unref(t);
 	httpc_free(&a);
--- a/src/ctl/main.c
+++ b/src/ctl/main.c
@@ -1,4 +1,4 @@
-/* saddleheadctl: the operators' command line. */
+/* saddleheadctl: the command line tool for operators. */
 #include "ctl.h"
 #include <popt.h>
 #include <stdio.h>
@@ -36,7 +36,7 @@
 }
 
 struct listing {
-	const char *what, *path, *list;
+	const char *kind, *path, *list_key;
 	const char *column[8];
 	int n;
 };
@@ -55,20 +55,20 @@
 	{"status", "/admin/v1/table/status", "instances", {"instance", "version", "for_ms"}, 3},
 };
 
-int ctl_list(const struct ctl *c, const char *what)
+int ctl_list(const struct ctl *c, const char *kind)
 {
 	const struct listing *l = listings;
 	struct httpc_answer a;
 	json_object *o, *list;
 	int rc;
 
-	while (strcmp(l->what, what)) l++;
+	while (strcmp(l->kind, kind)) l++;
 	rc = ctl_call(c, "GET", l->path, NULL, &a);
 	o = rc ? NULL : json_tokener_parse(a.text->str);
 	if (!rc && c->json)
 		puts(a.text->str);
-	else if (o && json_object_object_get_ex(o, l->list, &list))
-		ctl_print(list, l->column, l->n);
+	else if (o && json_object_object_get_ex(o, l->list_key, &list))
+		ctl_print_table(list, l->column, l->n);
 	json_object_put(o);
 	httpc_free(&a);
 	return rc;
@@ -115,7 +115,7 @@
 	return rc;
 }
 
-static int run(const struct ctl *c, const char **arg)
+static int run_command(const struct ctl *c, const char **arg)
 {
 	if (!arg[0]) {
 		fprintf(stderr, "saddleheadctl: a command is missing; see --help\n");
@@ -146,8 +146,10 @@
 		 "the operators' key, else $SADDLEHEAD_ADMIN_KEY", "KEY"},
 		{"if-match", 0, POPT_ARG_STRING, &c.if_match, 0,
 		 "change the table only if it is at this version", "VERSION"},
-		{"group", 'g', POPT_ARG_STRING, &c.group, 0, "for where", "NAME"},
-		{"service", 's', POPT_ARG_STRING, &c.service, 0, "for where", "NAME"},
+		{"group", 'g', POPT_ARG_STRING, &c.group, 0, "for the command \"where\"",
+		 "NAME"},
+		{"service", 's', POPT_ARG_STRING, &c.service, 0, "for the command \"where\"",
+		 "NAME"},
 		{"json", 'j', POPT_ARG_NONE, &c.json, 0, "print JSON", NULL},
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext ctx = poptGetContext("saddleheadctl", argc, argv, table, 0);
@@ -170,7 +172,7 @@
 		fprintf(stderr, "saddleheadctl: --admin is missing\n");
 		return 2;
 	}
-	rc = run(&c, arg);
+	rc = run_command(&c, arg);
 	poptFreeContext(ctx);
 	free(c.admin);
 	free(c.key);
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,4 @@
-/* saddleheadd: one instance, as a process. */
+/* saddleheadd: the daemon that runs one instance. */
 #include "cfg.h"
 #include "log.h"
 #include "node.h"
@@ -12,24 +12,24 @@
 
 #define VERSION "0.1.0"
 
-static volatile sig_atomic_t asked_to_drain;
-static volatile sig_atomic_t asked_to_stop;
+static volatile sig_atomic_t drain_requested;
+static volatile sig_atomic_t stop_requested;
 
 struct options {
 	char *config, *ready_file, *log_level, *log_format;
 	int check, version;
 };
 
-/* The first signal drains; a second one stops at once. */
+/* The first signal starts draining; a second one stops the daemon without waiting for it. */
 static void on_signal(int sig)
 {
 	(void)sig;
-	if (asked_to_drain) asked_to_stop = 1;
-	asked_to_drain = 1;
+	if (drain_requested) stop_requested = 1;
+	drain_requested = 1;
 }
 
-/* What is being read is read on: settings, too. */
-static void catch_signals(void)
+/* SA_RESTART: a signal must not interrupt reads, such as that of the settings. */
+static void install_signal_handlers(void)
 {
 	struct sigaction sa = {.sa_handler = on_signal, .sa_flags = SA_RESTART};
 
@@ -38,8 +38,8 @@
 	signal(SIGPIPE, SIG_IGN);
 }
 
-/* Written whole under another name first, so that a reader never sees half of it. */
-static int write_ready(const char *path)
+/* Writes a temporary file and renames it, so that readers never see a partial file. */
+static int write_ready_file(const char *path)
 {
 	char tmp[4096];
 	FILE *f;
@@ -56,25 +56,25 @@
 	return rename(tmp, path);
 }
 
-static void serve(void)
+static void wait_until_drained(void)
 {
 	struct timespec ts = {0, 20000000};
 
-	while (!asked_to_stop) {
-		if (asked_to_drain) node_drain();
+	while (!stop_requested) {
+		if (drain_requested) node_drain();
 		if (node_drained()) break;
 		nanosleep(&ts, NULL);
 	}
 }
 
-static int parse(int argc, const char **argv, struct options *o)
+static int parse_options(int argc, const char **argv, struct options *o)
 {
 	struct poptOption table[] = {
 		{"config", 'c', POPT_ARG_STRING, &o->config, 0, "settings, JSON with comments",
 		 "FILE"},
 		{"check", 0, POPT_ARG_NONE, &o->check, 0, "check the settings and exit", NULL},
 		{"ready-file", 0, POPT_ARG_STRING, &o->ready_file, 0,
-		 "write the chosen addresses there once serving", "FILE"},
+		 "write the listening addresses there when ready", "FILE"},
 		{"log-level", 0, POPT_ARG_STRING, &o->log_level, 0,
 		 "error, warning, info or debug", "LEVEL"},
 		{"log-format", 0, POPT_ARG_STRING, &o->log_format, 0, "text or json", "FORMAT"},
@@ -83,15 +83,15 @@
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext ctx = poptGetContext("saddleheadd", argc, argv, table, 0);
 	int rc = poptGetNextOpt(ctx);
-	const char *rest;
+	const char *extra;
 
 	if (rc < -1)
 		fprintf(stderr, "saddleheadd: %s: %s\n", poptBadOption(ctx, 0),
 			poptStrerror(rc));
-	rest = poptGetArg(ctx);
-	if (rest) fprintf(stderr, "saddleheadd: %s: not expected\n", rest);
+	extra = poptGetArg(ctx);
+	if (extra) fprintf(stderr, "saddleheadd: %s: not expected\n", extra);
 	poptFreeContext(ctx);
-	return rc < -1 || rest ? -1 : 0;
+	return rc < -1 || extra ? -1 : 0;
 }
 
 static void free_options(struct options *o)
@@ -102,7 +102,7 @@
 	free(o->log_format);
 }
 
-static int start_log(const struct options *o, const struct cfg *c)
+static int init_log(const struct options *o, const struct cfg *c)
 {
 	const char *level = o->log_level ? o->log_level : c->log_level;
 	const char *format = o->log_format ? o->log_format : c->log_format;
@@ -121,12 +121,13 @@
 		fprintf(stderr, "saddleheadd: %s\n", e.text);
 		return 1;
 	}
-	if (o->ready_file && write_ready(o->ready_file)) {
+	if (o->ready_file && write_ready_file(o->ready_file)) {
 		fprintf(stderr, "saddleheadd: can't write %s\n", o->ready_file);
 		return 1;
 	}
-	log_info("main", "%s serves callers on port %u.", node.self.name, node.self.front_port);
-	serve();
+	log_info("main", "%s accepts requests on port %u.", node.self.name,
+		 node.self.front_port);
+	wait_until_drained();
 	node_stop();
 	log_info("main", "%s has stopped.", node.self.name);
 	return 0;
@@ -142,7 +143,7 @@
 		fprintf(stderr, "saddleheadd: %s\n", e.text);
 		return 2;
 	}
-	if (start_log(o, &cfg)) return 2;
+	if (init_log(o, &cfg)) return 2;
 	if (o->check) {
 		printf("%s: settings are good\n", o->config);
 		return 0;
@@ -158,8 +159,8 @@
 	struct options o = {0};
 	int rc = 0;
 
-	catch_signals();
-	if (parse(argc, argv, &o)) {
+	install_signal_handlers();
+	if (parse_options(argc, argv, &o)) {
 		rc = 2;
 	} else if (o.version) {
 		puts("saddleheadd " VERSION);
--- a/src/fleet/be_drain.c
+++ b/src/fleet/be_drain.c
@@ -95,7 +95,7 @@
 
 	if (be_dc_is_drained(dc) == on) return;
 	set(dc, on);
-	met_set(MET_G_DRAINED, g_hash_table_size(drained));
+	met_set(MET_G_DRAINED_DATA_CENTRES, g_hash_table_size(drained));
 	log_drain(dc, on);
 	for (i = 0; i < be_all()->len; i++) {
 		struct be *b = g_ptr_array_index(be_all(), i);
--- a/src/fleet/bx.c
+++ b/src/fleet/bx.c
@@ -22,7 +22,7 @@
 	int64_t now = clock_us();
 	GString *g;
 
-	met_add(MET_NOTICES_UNREAD, 1);
+	met_add(MET_NOTICES_INVALID, 1);
 	if (now - b->unread_us < LOG_US) return;
 	b->unread_us = now;
 	g = jlog_begin("fleet", "notice_unread");
--- a/src/fleet/mesh_accept.c
+++ b/src/fleet/mesh_accept.c
@@ -91,7 +91,7 @@
 		struct mesh_in *in = g_ptr_array_index(accepted, i);
 
 		if (in->serving || now - in->heard_us < IDLE_US) continue;
-		met_add(MET_PEER_IDLE, 1);
+		met_add(MET_PEER_CONNECTIONS_IDLE, 1);
 		mesh_drop_in(in);
 	}
 }
--- a/src/fleet/mesh_link.c
+++ b/src/fleet/mesh_link.c
@@ -88,7 +88,7 @@
 
 void mesh_renew_link(struct member *m, const char *why)
 {
-	met_add(MET_PEER_RENEWED, 1);
+	met_add(MET_PEER_LINKS_RENEWED, 1);
 	/* Once for each time that it worked: a dead one is tried again and again. */
 	if (m->echoed_us >= m->link_up_us) log_renewed(m, why);
 	cn_reset(&m->link);
--- a/src/fleet/mesh_serve.c
+++ b/src/fleet/mesh_serve.c
@@ -46,7 +46,7 @@
 {
 	GString *out = g_string_new(NULL);
 
-	met_add(MET_PEER_BUSY, 1);
+	met_add(MET_PEER_FETCHES_REFUSED, 1);
 	mesh_write_holders(out, HOLDERS_MAX, dc);
 	cn_write(&in->cn, out->str, out->len);
 	g_string_free(out, TRUE);
--- a/src/fleet/poison.c
+++ b/src/fleet/poison.c
@@ -41,10 +41,10 @@
 	int n = 0;
 
 	quar_each(table, count_blocked, &n);
-	met_set(MET_G_BLOCKED, n);
+	met_set(MET_G_QUARANTINED, n);
 	poison_log_verdict(table, s, said_by);
 	if (!quar_is_blocked(s)) return;
-	met_add(MET_BLOCKED, 1);
+	met_add(MET_QUARANTINED, 1);
 	hooks->blocked(&fp);
 }
 
@@ -149,7 +149,7 @@
 	int64_t now = clock_us();
 	struct poison_told_end e = {.life = b->born_ms, .ago_us = now - at_us, .n = n};
 
-	met_add(MET_BACKENDS_ENDED, 1);
+	met_add(MET_BACKENDS_CRASHED, 1);
 	g_strlcpy(e.server, b->id, sizeof e.server);
 	mesh_tell_end(&e, run);
 	recent_note(b, run, n, at_us, now);
@@ -329,7 +329,7 @@
 int poison_clear(const char *fingerprint)
 {
 	struct fp fp;
-	int rc = fp_read(fingerprint, &fp);
+	int rc = fp_parse(fingerprint, &fp);
 
 	if (!rc) rc = quar_clear(table, &fp, clock_us());
 	if (rc) return rc;
--- a/src/fleet/poison_through.c
+++ b/src/fleet/poison_through.c
@@ -17,7 +17,7 @@
 {
 	int64_t *at;
 
-	if (!through) through = g_hash_table_new_full(fp_hash, fp_same, g_free, g_free);
+	if (!through) through = g_hash_table_new_full(fp_hash, fp_key_equal, g_free, g_free);
 	at = g_hash_table_lookup(through, fp);
 
 	if (!at && g_hash_table_size(through) >= THROUGH_MOST) {
--- a/src/fleet/poison_way.c
+++ b/src/fleet/poison_way.c
@@ -75,7 +75,7 @@
 {
 	uint32_t before;
 
-	if (!told) told = g_hash_table_new_full(fp_hash, fp_same, g_free, NULL);
+	if (!told) told = g_hash_table_new_full(fp_hash, fp_key_equal, g_free, NULL);
 	before = GPOINTER_TO_UINT(g_hash_table_lookup(told, fp));
 	if (n == before) return;
 	mesh_tell_under_way(fp, n);
--- a/src/fleet/poison_write.c
+++ b/src/fleet/poison_write.c
@@ -27,7 +27,7 @@
 				quar_is_blocked(s) ? "request_blocked" : "request_unblocked");
 	char print[FP_HEX];
 
-	fp_write(&s->fp, print);
+	fp_format(&s->fp, print);
 	jlog_str(g, "fingerprint", print);
 	jlog_str(g, "said_by", said_by);
 	jlog_int(g, "round", s->round);
@@ -70,7 +70,7 @@
 	int i;
 
 	if (!quar_is_blocked(s)) return;
-	fp_write(&s->fp, print);
+	fp_format(&s->fp, print);
 	g_string_append_printf(out,
 			       "%s{\"fingerprint\":\"%s\",\"round\":%u,\"blocked_s\":%.1f,"
 			       "\"trial_in_s\":%.1f,\"backends\":[",
--- a/src/fleet/ro_choose.c
+++ b/src/fleet/ro_choose.c
@@ -120,7 +120,7 @@
 	o->use.requests += first != 0;
 	if (b->ro_part == RO_OLD) return;
 	o->use.exposed++;
-	met_add(MET_CANARIES, 1);
+	met_add(MET_CANARY_REQUESTS, 1);
 }
 
 void ro_ended(struct be *b, uint32_t route, enum ro_end how, int64_t took_us)
--- a/src/internal/err.h
+++ b/src/internal/err.h
@@ -1,8 +1,8 @@
-/* Errors that carry the step and the peer where they arose. */
+/* Errors with the processing step and the peer at which they occurred. */
 #ifndef SH_ERR_H
 #define SH_ERR_H
 
-/* Where in a request's path an error arose. */
+/* The step of request processing at which an error occurred. */
 enum step {
 	STEP_NONE,
 	STEP_PARSE,
@@ -19,7 +19,7 @@
 	STEP_MAX
 };
 
-/* code is 0 or a negative errno; peer names the other side (address or name). */
+/* code is 0 or a negative errno; peer is the address or name of the remote side. */
 struct err {
 	int code;
 	enum step step;
@@ -29,7 +29,7 @@
 
 const char *err_step_name(enum step step);
 
-/* Fills e (which may be NULL) and returns code. */
+/* Fills in e, unless it is NULL, and returns code. */
 int err_set(struct err *e, int code, enum step step, const char *peer, const char *fmt, ...)
 	__attribute__((format(printf, 5, 6)));
 #endif
--- a/src/internal/hash.h
+++ b/src/internal/hash.h
@@ -4,7 +4,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The 64-bit id of a name: groups, services, engines and members go by it. Never 0. */
+/* The 64-bit id of the name of a group, service, engine or member. Never 0. */
 uint64_t hash_name(const char *name);
 uint64_t hash_bytes(const void *p, size_t n);
 /* Rendezvous score of placing key on node. */
--- a/src/internal/jlog.h
+++ b/src/internal/jlog.h
@@ -1,22 +1,24 @@
-/* Structured logs: a JSON object a line on standard output, written by a thread of its own.
- * Nothing waits for it: when its ring is full, or a second's lines are used up, lines are
- * dropped and the next one tells how many. */
+/* Structured log: one JSON object per line on standard output, written by a separate thread.
+ * Callers never wait for output: when the queue is full or the limit of lines per second is
+ * reached, lines are dropped, and the next line reports how many. */
 #ifndef SH_JLOG_H
 #define SH_JLOG_H
 #include <glib.h>
 #include <stdint.h>
 
-/* Starts the thread. name: the instance, on each line. 0 or a negative errno. */
+/* Starts the writer thread. name: the instance name put on each line. Returns 0 or a negative
+ * errno. */
 int jlog_start(const char *name);
-/* Writes out what waits, for at most half a second. */
+/* Writes out the queued lines, waiting at most half a second for it. */
 void jlog_stop(void);
 
-/* Begins a line. part: the module; event: what happened. Never NULL. */
+/* Starts a line. part: the module that logs; event: the event's name. Never returns NULL. */
 GString *jlog_begin(const char *part, const char *event);
-/* value may be NULL: the field is left out. */
+/* Adds a field; with value NULL it is omitted. */
 void jlog_str(GString *line, const char *key, const char *value);
 void jlog_int(GString *line, const char *key, int64_t value);
-/* Takes the line over. */
+/* Queues the line and takes ownership of it. */
 void jlog_end(GString *line);
+/* Lines dropped since the start. */
 uint64_t jlog_dropped(void);
 #endif
--- a/src/internal/log.h
+++ b/src/internal/log.h
@@ -1,12 +1,13 @@
-/* Logs through GLib: one short sentence a line, with a fixed prefix for each part. */
+/* Log output through GLib: one short sentence per line, prefixed with the module's name. */
 #ifndef SH_LOG_H
 #define SH_LOG_H
 #include <glib.h>
 
-/* level: "error", "warning", "info" or "debug"; format: "text" or "json". 0 or -EINVAL. */
+/* level: "error", "warning", "info" or "debug"; format: "text" or "json". Returns 0 or
+ * -EINVAL. */
 int log_init(const char *level, const char *format);
 
-/* part is the prefix; group, request and engine are fields and may be NULL. */
+/* part: the module's name; group, request and engine are optional fields and may be NULL. */
 void log_write(GLogLevelFlags level, const char *part, const char *group, const char *request,
 	       const char *engine, const char *fmt, ...) __attribute__((format(printf, 6, 7)));
 
--- a/src/internal/met.h
+++ b/src/internal/met.h
@@ -1,4 +1,4 @@
-/* Counters, gauges and histograms of our own, written out as Prometheus text. */
+/* Counters, gauges and histograms, written out as Prometheus text. */
 #ifndef SH_MET_H
 #define SH_MET_H
 #include "reason.h"
@@ -24,27 +24,27 @@
 	MET_PEER_DROPPED,
 	MET_KV_CALLS,
 	MET_KV_ERRORS,
-	MET_KV_REFUSED_BUDGET,
+	MET_KV_OVER_BUDGET,
 	MET_TABLE_CHANGES,
-	MET_PAUSES,
+	MET_READER_PAUSES,
 	MET_PROBES,
-	MET_PEER_FETCHES,       /* lists asked for at other instances */
-	MET_PEER_BUSY,          /* the same that this one turned away */
-	MET_PEER_RENEWED,       /* links that were broken off as nothing was answered */
-	MET_PEER_IDLE,          /* connections of others on which nothing came any more */
-	MET_REPEATS,            /* that reached a server */
-	MET_REPEATS_HELD,       /* requests that the fleet's allowance kept from a repeat */
-	MET_BACKENDS_ENDED,     /* untold, while requests of this instance ran there */
-	MET_ENTRIES_UNREADABLE, /* of backend servers, by other writers */
-	MET_BLOCKED,            /* requests that were blamed for it, here or elsewhere */
-	MET_COLD_PASSED_OVER,   /* choices in which a cold server had its share already */
-	MET_LIMIT_PASSED_OVER,  /* the same of one that named a limit */
-	MET_REST_PASSED_OVER,   /* choices in which a server rested, or came back from it */
-	MET_TURNS_WAITED,       /* requests that waited until a server may be asked */
-	MET_NOTICES_UNREAD,     /* answers whose word on the server can't be used */
-	MET_CANARIES,           /* requests sent to versions that are being brought in */
-	MET_ROLLBACKS,          /* versions found bad */
-	MET_SILENT_CONNECTIONS, /* of streams whose engines had made more than came */
+	MET_PEER_FETCHES,          /* lists requested from other instances */
+	MET_PEER_FETCHES_REFUSED,  /* such requests of others that this instance refused */
+	MET_PEER_LINKS_RENEWED,    /* links closed because the other side did not answer */
+	MET_PEER_CONNECTIONS_IDLE, /* accepted connections closed as idle */
+	MET_RETRIES,               /* retries that reached a server */
+	MET_RETRIES_DENIED,     /* requests not retried because of the fleet's retry budget */
+	MET_BACKENDS_CRASHED,   /* servers crashed without notice under requests of this one */
+	MET_ENTRIES_UNREADABLE, /* entries of backend servers, by other writers */
+	MET_QUARANTINED,        /* requests quarantined, by this instance or another */
+	MET_COLD_SKIPPED,       /* choices that skipped a cold server with its share used up */
+	MET_LIMIT_SKIPPED,      /* choices that skipped a server with its rate limit used up */
+	MET_BACKOFF_SKIPPED,    /* choices that skipped a server in or after back-off */
+	MET_RATE_LIMIT_WAITS,   /* requests that waited for a server's rate limit */
+	MET_NOTICES_INVALID,    /* answers with an invalid notice about their server */
+	MET_CANARY_REQUESTS,    /* requests sent to versions that are being rolled out */
+	MET_ROLLBACKS,          /* versions found bad and rolled back */
+	MET_SILENT_CONNECTIONS, /* of streams whose engine had generated more than arrived */
 	MET_COUNT_MAX
 };
 
@@ -57,18 +57,18 @@
 	MET_G_TABLE_VERSION,
 	MET_G_DRAINING,
 	MET_G_WATCHES,
-	MET_G_ACTIVE,  /* callers are sent here */
-	MET_G_BLOCKED, /* requests that are blamed now */
-	MET_G_DRAINED, /* data centres that are drained */
+	MET_G_ACTIVE,               /* 1 if this instance receives caller traffic */
+	MET_G_QUARANTINED,          /* requests in quarantine now */
+	MET_G_DRAINED_DATA_CENTRES, /* data centres drained now */
 	MET_GAUGE_MAX
 };
 
 enum met_hist {
 	MET_H_FIRST_TOKEN,
-	MET_H_BETWEEN,
+	MET_H_BETWEEN_TOKENS,
 	MET_H_STALL,
-	MET_H_WAIT,         /* for room, of those that were sent then */
-	MET_H_FORECAST_OFF, /* between that wait and the one that was foreseen */
+	MET_H_WAIT,           /* for free memory, of requests that were then sent */
+	MET_H_FORECAST_ERROR, /* absolute difference between that wait and its forecast */
 	MET_HIST_MAX
 };
 
@@ -78,7 +78,8 @@
 void met_retried(enum retry r);
 void met_set(enum met_gauge g, int64_t v);
 
-/* The histograms of one group. Found once per request, then updated without a lock. */
+/* The histograms of one group. Looked up under a lock once per request, then updated without
+ * one. */
 struct met_group;
 struct met_group *met_group(const char *name);
 void met_observe(struct met_group *g, enum met_hist h, int64_t us);
--- a/src/internal/reason.h
+++ b/src/internal/reason.h
@@ -1,4 +1,4 @@
-/* Why a request was refused or tried again: one counter each. */
+/* Reasons why a request was refused or retried, with one counter each. */
 #ifndef SH_REASON_H
 #define SH_REASON_H
 
@@ -33,11 +33,11 @@
 	REF_CALLER_LEFT,
 	REF_CONFLICT,
 	REF_INTERNAL,
-	REF_CRASHES,     /* backend servers ended under it: not sent again */
-	REF_SUSPECT,     /* the same may be so, and others of it are under way */
-	REF_DC_DRAINED,  /* all servers that would do are in data centres that are drained */
-	REF_PACED,       /* all servers that would do have had their share of requests */
-	REF_SLOW_READER, /* the caller takes its answer too slowly, and memory is short */
+	REF_CRASHES,      /* backend servers crashed while it ran; it is not sent again */
+	REF_SUSPECT,      /* it may have crashed servers, and others like it are in flight */
+	REF_DC_DRAINED,   /* all suitable servers are in drained data centres */
+	REF_RATE_LIMITED, /* its share of every suitable server's rate limit is used up */
+	REF_SLOW_READER,  /* the caller reads its answer too slowly and memory is short */
 	REF_MAX
 };
 
@@ -56,8 +56,8 @@
 };
 
 struct refusal_info {
-	const char *code; /* the "code" of the JSON error and the metric's label */
-	int status;       /* HTTP */
+	const char *code; /* "code" of the JSON error and "reason" label of the metric */
+	int status;       /* HTTP status */
 };
 
 const struct refusal_info *refusal_info(enum refusal r);
--- a/src/link/kv_http.c
+++ b/src/link/kv_http.c
@@ -34,7 +34,7 @@
 	ok = allowance >= 1;
 	if (ok) allowance -= 1;
 	pthread_mutex_unlock(&lock);
-	met_add(ok ? MET_KV_CALLS : MET_KV_REFUSED_BUDGET, 1);
+	met_add(ok ? MET_KV_CALLS : MET_KV_OVER_BUDGET, 1);
 	return ok ? 0 : -EBUSY;
 }
 
--- a/src/link/peer_docs.c
+++ b/src/link/peer_docs.c
@@ -151,7 +151,7 @@
 	gsize len = data ? g_bytes_get_size(data) : 0;
 
 	if (len > SMALL_MAX && !has_place(l)) {
-		met_add(MET_PEER_BUSY, 1);
+		met_add(MET_PEER_FETCHES_REFUSED, 1);
 		out.u.doc.version = 0;
 		len = 0;
 	}
--- a/src/node/req.c
+++ b/src/node/req.c
@@ -260,7 +260,7 @@
 
 struct req_msg *req_wait(struct req *r, int64_t deadline_us)
 {
-	struct timespec ts = clock_spec(deadline_us);
+	struct timespec ts = clock_monotonic_spec(deadline_us);
 	struct mux_xfer *x;
 	struct req_msg *m;
 
@@ -280,7 +280,7 @@
 
 void req_paused(struct req *r, struct mux *m, struct mux_xfer *x)
 {
-	met_add(MET_PAUSES, 1);
+	met_add(MET_READER_PAUSES, 1);
 	mux_xfer_ref(x);
 	pthread_mutex_lock(&r->lock);
 	mux_xfer_unref(r->paused);
--- a/src/node/sink.c
+++ b/src/node/sink.c
@@ -34,7 +34,7 @@
 		met_observe(s->met, MET_H_FIRST_TOKEN, at_us - s->arrived_us);
 		s->stall_us = at_us - s->arrived_us;
 	} else {
-		met_observe(s->met, MET_H_BETWEEN, gap);
+		met_observe(s->met, MET_H_BETWEEN_TOKENS, gap);
 		if (gap > STALL_GAP_US) s->stall_us += gap - STALL_GAP_US;
 	}
 	s->last_us = at_us;
--- a/src/relay/rq_answer.c
+++ b/src/relay/rq_answer.c
@@ -98,7 +98,7 @@
 	write_stream_head(r, head);
 	write_chunk(r, p, n);
 	if (l->hx && !hs_may_hold(r->h)) {
-		met_add(MET_PAUSES, 1);
+		met_add(MET_READER_PAUSES, 1);
 		hx_pause(l->hx, 1);
 	}
 }
--- a/src/relay/rq_budget.c
+++ b/src/relay/rq_budget.c
@@ -53,7 +53,7 @@
 	struct rq *r = l->rq;
 
 	if (l->from_copy || !r->reached++) return;
-	met_add(MET_REPEATS, 1);
+	met_add(MET_RETRIES, 1);
 	count_late(r);
 }
 
@@ -69,7 +69,7 @@
 
 	if (r->held_back) return;
 	r->held_back = 1;
-	met_add(MET_REPEATS_HELD, 1);
+	met_add(MET_RETRIES_DENIED, 1);
 	g = jlog_begin("relay", "repeat_held_back");
 	jlog_str(g, "request", r->in.id);
 	jlog_str(g, "service", r->service->name);
--- a/src/relay/rq_end.c
+++ b/src/relay/rq_end.c
@@ -9,7 +9,7 @@
 	GString *g = jlog_begin("relay", "exchange_broke");
 	char print[FP_HEX];
 
-	fp_write(&l->rq->fp, print);
+	fp_format(&l->rq->fp, print);
 	jlog_str(g, "request", l->rq->in.id);
 	if (l->rq->has_fp) jlog_str(g, "fingerprint", print);
 	jlog_str(g, "backend", l->be->id);
--- a/src/relay/rq_pick.c
+++ b/src/relay/rq_pick.c
@@ -132,9 +132,9 @@
 	c.n = c.full = c.last_resort = 0;
 	memset(c.passed_over, 0, sizeof c.passed_over);
 	be_walk(r->service->name, dc, rq_own_place(), consider, &c);
-	met_add(MET_COLD_PASSED_OVER, c.passed_over[PACE_COLD]);
-	met_add(MET_LIMIT_PASSED_OVER, c.passed_over[PACE_LIMIT]);
-	met_add(MET_REST_PASSED_OVER, c.passed_over[PACE_REST]);
+	met_add(MET_COLD_SKIPPED, c.passed_over[PACE_COLD]);
+	met_add(MET_LIMIT_SKIPPED, c.passed_over[PACE_LIMIT]);
+	met_add(MET_BACKOFF_SKIPPED, c.passed_over[PACE_REST]);
 	if (c.n) return &c;
 	c.last_resort = 1;
 	be_walk(r->service->name, dc, rq_own_place(), consider, &c);
--- a/src/relay/rq_turn.c
+++ b/src/relay/rq_turn.c
@@ -105,7 +105,7 @@
 	spread = MIN(wait_us / SPREAD_PART, G_MAXINT32 - 1);
 
 	rq_stop_waiting(r);
-	rq_refuse(r, REF_PACED, wait_us + g_random_int_range(0, (gint32)spread + 1),
+	rq_refuse(r, REF_RATE_LIMITED, wait_us + g_random_int_range(0, (gint32)spread + 1),
 		  "its servers take no more from this instance within its time");
 }
 
@@ -128,7 +128,7 @@
 		refuse(r, first, wait_us);
 		return 1;
 	}
-	met_add(MET_TURNS_WAITED, 1);
+	met_add(MET_RATE_LIMIT_WAITS, 1);
 	rq_line_join(r, RQ_WAITS_TURN);
 	return 1;
 }
--- a/src/relay/rq_wait.c
+++ b/src/relay/rq_wait.c
@@ -82,7 +82,7 @@
 	jlog_end(g);
 	if (!r->group) return;
 	met_observe(met_group(r->group->name), MET_H_WAIT, waited_us);
-	met_observe(met_group(r->group->name), MET_H_FORECAST_OFF,
+	met_observe(met_group(r->group->name), MET_H_FORECAST_ERROR,
 		    ABS(waited_us - r->foreseen_us));
 }
 
--- a/src/standin/standin-kv.c
+++ b/src/standin/standin-kv.c
@@ -95,7 +95,7 @@
 /* Waits until the key is newer than after, or wait_ms have passed. */
 static struct entry *wait_newer(const char *key, uint64_t after, int64_t wait_ms)
 {
-	struct timespec ts = clock_spec(clock_us() + wait_ms * 1000);
+	struct timespec ts = clock_monotonic_spec(clock_us() + wait_ms * 1000);
 	struct entry *e;
 
 	for (;;) {
--- a/test/check.c
+++ b/test/check.c
@@ -14,7 +14,7 @@
 	fflush(stdout);
 }
 
-static int wanted(int argc, char **argv, const char *name)
+static int selected(int argc, char **argv, const char *name)
 {
 	int i;
 
@@ -32,7 +32,8 @@
 	CU_initialize_registry();
 	s = CU_add_suite("all", NULL, NULL);
 	for (i = 0; i < n; i++)
-		if (wanted(argc, argv, list[i].name)) CU_add_test(s, list[i].name, list[i].run);
+		if (selected(argc, argv, list[i].name))
+			CU_add_test(s, list[i].name, list[i].run);
 	CU_set_test_complete_handler(on_complete);
 	CU_run_all_tests();
 	failed = (int)CU_get_number_of_tests_failed();
--- a/test/check.h
+++ b/test/check.h
@@ -1,4 +1,4 @@
-/* Running CUnit tests one line each: "ok NAME" or "not ok NAME". */
+/* Test runner for CUnit: prints one line per test, "ok NAME" or "not ok NAME". */
 #ifndef SH_CHECK_H
 #define SH_CHECK_H
 #include <CUnit/Basic.h>
@@ -9,7 +9,7 @@
 	void (*run)(void);
 };
 
-/* Runs the tests (those named on the command line, or all); returns main's result. */
+/* Runs the tests named on the command line, or all; returns the exit status for main. */
 int check_run(int argc, char **argv, const struct check *list, int n);
 
 #define CHECK_MAIN(list)                                                        \
--- a/test/clock_jump.c
+++ b/test/clock_jump.c
@@ -1,5 +1,5 @@
-/* An entry whose machine is suspended: SIGUSR2, sent with a number, is that many milliseconds
- * in which nothing ran. */
+/* Simulates a suspension of the machine in an entry: SIGUSR2 advances its clocks by the
+ * milliseconds in the signal's value. */
 #include "clock.h"
 #include <signal.h>
 #include <stddef.h>
@@ -8,7 +8,7 @@
 {
 	(void)sig;
 	(void)context;
-	atomic_fetch_add(&clock_moved_us, info->si_value.sival_int * 1000LL);
+	atomic_fetch_add(&clock_offset_us, info->si_value.sival_int * 1000LL);
 }
 
 __attribute__((constructor)) static void init(void)
--- a/test/test_base.c
+++ b/test/test_base.c
@@ -109,14 +109,14 @@
 	heap_free(&h);
 }
 
-struct seen {
+struct received {
 	int n;
 	char last[64], id[64];
 };
 
 static int on_event(struct sse *s, void *arg)
 {
-	struct seen *e = arg;
+	struct received *e = arg;
 
 	e->n++;
 	g_strlcpy(e->last, s->data->str, sizeof e->last);
@@ -124,14 +124,14 @@
 	return e->n == 99 ? -1 : 0;
 }
 
-/* The same bytes give the same events however they are cut. */
+/* The parser gives the same events wherever the input is split. */
 static void sse_does_not_mind_cuts(void)
 {
 	static const char text[] =
 		"id: a:1\r\ndata: one\r\n\r\n: note\n\ndata: two\ndata: more\n\n"
 		"event: load\ndata:three\n\n";
 	size_t cut, n = sizeof text - 1;
-	struct seen e;
+	struct received e;
 	struct sse s;
 
 	for (cut = 0; cut <= n; cut++) {
@@ -145,11 +145,12 @@
 	}
 }
 
-/* A wait until 0 was one until a negative time: an error that looked like a wake-up, and four
- * daemons span for minutes. */
+/* Guards against a busy loop: a wait until time 0 became one until a negative time, whose error
+ * was taken for a wake-up, and four daemons spun for minutes. */
 static void a_time_that_is_over_can_be_waited_for(void)
 {
-	struct timespec over = clock_spec(0), soon = clock_spec(clock_us() + 1000000);
+	struct timespec over = clock_monotonic_spec(0),
+			soon = clock_monotonic_spec(clock_us() + 1000000);
 	struct timespec now;
 
 	clock_gettime(CLOCK_MONOTONIC, &now);
--- a/test/test_docs.c
+++ b/test/test_docs.c
@@ -372,7 +372,7 @@
 /* All ask for it at once and read nothing: two are sent it, the others when they have gone. */
 static void copies_handed_on_at_once_are_bounded(void)
 {
-	uint64_t busy = met_get(MET_PEER_BUSY);
+	uint64_t busy = met_get(MET_PEER_FETCHES_REFUSED);
 	int64_t until;
 	int i, most;
 
@@ -383,7 +383,7 @@
 	most = copies();
 	CU_ASSERT_EQUAL(most, AT_ONCE);
 	if (most != AT_ONCE) printf("  %d copies at once\n", most);
-	CU_ASSERT(met_get(MET_PEER_BUSY) > busy);
+	CU_ASSERT(met_get(MET_PEER_FETCHES_REFUSED) > busy);
 	for (i = 0; i < OTHERS; i++) other[i].stalled = 0;
 	until = clock_us() + 5000000;
 	while (have() < OTHERS && clock_us() < until) turn();
--- a/test/test_start.c
+++ b/test/test_start.c
@@ -1,4 +1,4 @@
-/* The programs' first moments, while their settings are read. */
+/* Signals that arrive while a program is starting and reads its settings. */
 #include "check.h"
 #include <fcntl.h>
 #include <glib.h>
@@ -10,11 +10,11 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define LOOK_US 10000
-#define BEGUN_US 300000 /* the program has opened its settings, and waits for them */
-#define ENDS_US 5000000
+#define POLL_US 10000
+#define OPEN_US 300000 /* by then the program waits to read its settings */
+#define EXIT_US 5000000
 
-static int exec_with(const char *program, const char *option, const char *file)
+static int start_program(const char *program, const char *option, const char *file)
 {
 	const char *build = getenv("B");
 	char *path = g_strdup_printf("%s/%s", build ? build : "build", program);
@@ -28,22 +28,24 @@
 	return pid;
 }
 
-/* Its status, as waitpid tells it; -1: it had to be killed. */
-static int status_of(pid_t pid)
+/* Returns the status from waitpid, or -1 if the process did not exit in time and was killed. */
+static int wait_status(pid_t pid)
 {
 	int status, waited;
 
-	for (waited = 0; waited < ENDS_US; waited += LOOK_US) {
+	for (waited = 0; waited < EXIT_US; waited += POLL_US) {
 		if (waitpid(pid, &status, WNOHANG) == pid) return status;
-		usleep(LOOK_US);
+		usleep(POLL_US);
 	}
 	kill(pid, SIGKILL);
 	waitpid(pid, &status, 0);
 	return -1;
 }
 
-/* The program waits for its settings at a pipe when it is asked to stop. */
-static int stopped_while_it_read(const char *program, const char *option, const char *settings)
+/* Sends SIGTERM to the program while it waits to read its settings from a FIFO; returns its
+ * wait status. */
+static int status_after_stop_while_reading(const char *program, const char *option,
+					   const char *settings)
 {
 	char fifo[64];
 	pid_t pid;
@@ -51,21 +53,21 @@
 
 	g_snprintf(fifo, sizeof fifo, "/tmp/start-%d", getpid());
 	if (mkfifo(fifo, 0600)) abort();
-	pid = exec_with(program, option, fifo);
-	usleep(BEGUN_US);
+	pid = start_program(program, option, fifo);
+	usleep(OPEN_US);
 	kill(pid, SIGTERM);
-	usleep(LOOK_US);
+	usleep(POLL_US);
 	fd = open(fifo, O_WRONLY | O_NONBLOCK);
 	if (fd >= 0) {
 		if (write(fd, settings, strlen(settings)) < 0) abort();
 		close(fd);
 	}
 	unlink(fifo);
-	return status_of(pid);
+	return wait_status(pid);
 }
 
-/* A planned stop in an entry's first milliseconds ended it by the signal's default action, with
- * no line in its log. */
+/* Guards against signal handlers that are installed too late: SIGTERM in an entry's first
+ * milliseconds killed it by the default action, without a line in its log. */
 static void an_entry_that_is_asked_to_stop_while_it_starts_stops_in_order(void)
 {
 	static const char settings[] =
@@ -76,15 +78,16 @@
 		"bounds.failClosed=true\nbounds.revokeMs=5000\nbounds.drainMs=2000\n"
 		"bounds.graceS=3\nbounds.ttl_max_s=1\nbounds.retryBudgetRatio=0.2\n"
 		"bounds.budgetSlack=40\nbounds.budgetWindowS=10\nbounds.seedPropagationS=0.2\n";
-	int status = stopped_while_it_read("saddlehead-entry", "--settings", settings);
+	int status =
+		status_after_stop_while_reading("saddlehead-entry", "--settings", settings);
 
 	CU_ASSERT(WIFEXITED(status) && WEXITSTATUS(status) == 0);
 }
 
-/* The same of the own interface's daemon: it goes by its settings before it drains. */
+/* The same for the daemon: it reads its settings, here invalid, before it drains. */
 static void a_daemon_that_is_asked_to_stop_while_it_starts_reads_its_settings(void)
 {
-	int status = stopped_while_it_read("saddleheadd", "--config", "{}\n");
+	int status = status_after_stop_while_reading("saddleheadd", "--config", "{}\n");
 
 	CU_ASSERT(WIFEXITED(status) && WEXITSTATUS(status) == 2);
 }
