--- a/src/fleet/bx.c
+++ b/src/fleet/bx.c
@@ -22,7 +22,7 @@
 	int64_t now = clock_us();
 	GString *g;
 
-	met_add(MET_NOTICES_UNREAD, 1);
+	met_add(MET_NOTICES_INVALID, 1);
 	if (now - b->unusable_logged_us < LOG_INTERVAL_US) return;
 	b->unusable_logged_us = now;
 	g = jlog_begin("fleet", "notice_unread");
--- a/src/fleet/quarantine.c
+++ b/src/fleet/quarantine.c
@@ -44,10 +44,10 @@
 	int n = 0;
 
 	quar_each(table, count_blocked, &n);
-	met_set(MET_G_BLOCKED, n);
+	met_set(MET_G_QUARANTINED, n);
 	quarantine_log_verdict(table, s, reported_by);
 	if (!quar_is_quarantined(s)) return;
-	met_add(MET_BLOCKED, 1);
+	met_add(MET_QUARANTINED, 1);
 	hooks->quarantined(&fp);
 }
 
@@ -157,7 +157,7 @@
 	struct quarantine_crash e = {
 		.incarnation_ms = b->incarnation_ms, .ago_us = now - at_us, .n = n};
 
-	met_add(MET_BACKENDS_ENDED, 1);
+	met_add(MET_BACKENDS_CRASHED, 1);
 	g_strlcpy(e.server, b->id, sizeof e.server);
 	mesh_send_crash(&e, run);
 	recent_note(b, run, n, at_us, now);
@@ -340,7 +340,7 @@
 int quarantine_clear(const char *fingerprint)
 {
 	struct fp fp;
-	int rc = fp_read(fingerprint, &fp);
+	int rc = fp_parse(fingerprint, &fp);
 
 	if (!rc) rc = quar_clear(table, &fp, clock_us());
 	if (rc) return rc;
--- a/src/fleet/quarantine_inflight.c
+++ b/src/fleet/quarantine_inflight.c
@@ -75,7 +75,7 @@
 {
 	uint32_t before;
 
-	if (!sent) sent = g_hash_table_new_full(fp_hash, fp_same, g_free, NULL);
+	if (!sent) sent = g_hash_table_new_full(fp_hash, fp_key_equal, g_free, NULL);
 	before = GPOINTER_TO_UINT(g_hash_table_lookup(sent, fp));
 	if (n == before) return;
 	mesh_send_in_flight(fp, n);
--- a/src/fleet/quarantine_success.c
+++ b/src/fleet/quarantine_success.c
@@ -18,7 +18,8 @@
 {
 	int64_t *at;
 
-	if (!successes) successes = g_hash_table_new_full(fp_hash, fp_same, g_free, g_free);
+	if (!successes)
+		successes = g_hash_table_new_full(fp_hash, fp_key_equal, g_free, g_free);
 	at = g_hash_table_lookup(successes, fp);
 
 	if (!at && g_hash_table_size(successes) >= SUCCESS_MAX) {
--- a/src/fleet/quarantine_write.c
+++ b/src/fleet/quarantine_write.c
@@ -28,7 +28,7 @@
 								: "request_unblocked");
 	char print[FP_HEX];
 
-	fp_write(&s->fp, print);
+	fp_format(&s->fp, print);
 	jlog_str(g, "fingerprint", print);
 	jlog_str(g, "said_by", reported_by);
 	jlog_int(g, "round", s->round);
@@ -72,7 +72,7 @@
 	int i;
 
 	if (!quar_is_quarantined(s)) return;
-	fp_write(&s->fp, print);
+	fp_format(&s->fp, print);
 	g_string_append_printf(out,
 			       "%s{\"fingerprint\":\"%s\",\"round\":%u,\"blocked_s\":%.1f,"
 			       "\"trial_in_s\":%.1f,\"backends\":[",
--- a/src/link/peer_docs.c
+++ b/src/link/peer_docs.c
@@ -153,7 +153,7 @@
 	gsize len = data ? g_bytes_get_size(data) : 0;
 
 	if (len > SMALL_MAX && !may_send_copy(l)) {
-		met_add(MET_PEER_BUSY, 1);
+		met_add(MET_PEER_FETCHES_REFUSED, 1);
 		out.u.doc.version = 0;
 		len = 0;
 	}
--- a/src/relay/rq_answer.c
+++ b/src/relay/rq_answer.c
@@ -99,7 +99,7 @@
 	write_stream_head(r, head);
 	write_chunk(r, p, n);
 	if (att->hx && !hs_may_hold(r->h)) {
-		met_add(MET_PAUSES, 1);
+		met_add(MET_READER_PAUSES, 1);
 		hx_pause(att->hx, 1);
 	}
 }
--- a/src/relay/rq_budget.c
+++ b/src/relay/rq_budget.c
@@ -54,7 +54,7 @@
 	struct rq *r = att->rq;
 
 	if (att->from_copy || !r->reached_count++) return;
-	met_add(MET_REPEATS, 1);
+	met_add(MET_RETRIES, 1);
 	count_if_late(r);
 }
 
@@ -70,7 +70,7 @@
 
 	if (r->retry_denied) return;
 	r->retry_denied = 1;
-	met_add(MET_REPEATS_HELD, 1);
+	met_add(MET_RETRIES_DENIED, 1);
 	g = jlog_begin("relay", "repeat_held_back");
 	jlog_str(g, "request", r->in.id);
 	jlog_str(g, "service", r->service->name);
--- a/src/relay/rq_end.c
+++ b/src/relay/rq_end.c
@@ -9,7 +9,7 @@
 	GString *g = jlog_begin("relay", "exchange_broke");
 	char print[FP_HEX];
 
-	fp_write(&att->rq->fp, print);
+	fp_format(&att->rq->fp, print);
 	jlog_str(g, "request", att->rq->in.id);
 	if (att->rq->has_fp) jlog_str(g, "fingerprint", print);
 	jlog_str(g, "backend", att->be->id);
