--- a/src/internal/docs.h
+++ b/src/internal/docs.h
@@ -1,5 +1,6 @@
-/* Documents from the platform that every instance needs: the table, the lists, the event key.
- * A document's version only goes up; instances pass newer ones on to each other. */
+/* Documents from the platform's store that every instance holds: the operators' table, the
+ * lists of backend servers and the event key. A document's version never decreases. Instances
+ * announce their versions to each other and serve copies of newer ones. */
 #ifndef SH_DOCS_H
 #define SH_DOCS_H
 #include "wire.h"
@@ -10,19 +11,23 @@
 #define DOC_EVENT_KEY "saddlehead/event-key"
 #define DOC_LIST_PREFIX "platform/instances/"
 
-/* Declares a document before the threads start; returns its index. */
+/* Declares a document and returns its index, or -1 if the key is too long or there are too
+ * many. To be called before any thread starts. */
 int docs_declare(const char *key);
 int docs_count(void);
 const char *docs_key(int i);
 uint64_t docs_id(int i);
+/* The index of the document with this id, or -1. */
 int docs_find(uint64_t id);
 
-/* Takes data when the version is newer than what is here: 1, else 0. Then f is told. */
-int docs_offer(int i, uint64_t version, const char *data, size_t len);
-void docs_on_new(void (*f)(int doc, const char *data, size_t len, uint64_t version));
+/* Stores data if version is newer than the stored one and calls the callbacks: returns 1, else
+ * 0. Callbacks see the versions of a document in order. */
+int docs_update(int i, uint64_t version, const char *data, size_t len);
+void docs_on_update(void (*f)(int doc, const char *data, size_t len, uint64_t version));
 
 uint64_t docs_version(int i);
-/* A reference to the data, or NULL when there is none yet. */
+/* A new reference to the data, or NULL if there is none yet. */
 GBytes *docs_data(int i, uint64_t *version);
+/* Writes the id and version of at most max documents; returns how many. */
 uint32_t docs_versions(struct wire_version *out, uint32_t max);
 #endif
--- a/src/internal/front.h
+++ b/src/internal/front.h
@@ -1,4 +1,4 @@
-/* The HTTP sides of an instance: callers on one port, operators on another. */
+/* The two HTTP servers of an instance: one port for callers, one for operators. */
 #ifndef SH_FRONT_H
 #define SH_FRONT_H
 #include "err.h"
--- a/src/internal/table_edit.h
+++ b/src/internal/table_edit.h
@@ -1,4 +1,5 @@
-/* Changing the operators' table: read, change, check, write if nobody else did. */
+/* Edits of the operators' table: read, modify, validate, then compare-and-swap on the version.
+ */
 #ifndef SH_TABLE_EDIT_H
 #define SH_TABLE_EDIT_H
 #include "err.h"
@@ -11,14 +12,17 @@
 	enum edit_type type;
 	const char *group;  /* not for EDIT_TABLE */
 	json_object *value; /* not for EDIT_GROUP_DELETE */
-	uint64_t if_match;  /* 0: whatever version is there */
+	uint64_t if_match;  /* required version; 0: any */
 };
 
 /*
- * 0 and *version when it was accepted: it is in the platform's service, and in force here.
- * -EINVAL: the check failed, e names row and field. -ENOENT: no such group. -ECANCELED:
- * another version than if_match is there, *version says which. -EBUSY, -EIO: the platform
- * does not answer; with -EIO the change may be accepted yet.
+ * Returns 0 and the new version if the edit was accepted: it is written to the platform's store
+ * and in force at this instance.
+ * -EINVAL: validation failed, e names the row and field.
+ * -ENOENT: no such group.
+ * -ECANCELED: the table is at another version than if_match, namely *version, or it changed
+ * during every try.
+ * -EBUSY, -EIO: no answer from the platform. After -EIO the edit may have been accepted.
  */
 int table_edit(const struct edit *ed, uint64_t *version, struct err *e);
 #endif
--- a/src/link/peer_docs.c
+++ b/src/link/peer_docs.c
@@ -103,7 +103,7 @@
 {
 	int d = docs_find(m->u.doc.doc);
 
-	if (d >= 0) docs_offer(d, m->u.doc.version, m->u.doc.data, m->u.doc.len);
+	if (d >= 0) docs_update(d, m->u.doc.version, m->u.doc.data, m->u.doc.len);
 	if (l != fetch) return 0;
 	if (!m->u.doc.version) refused = 1;
 	return --due ? 0 : -1;
--- a/src/node/admin.c
+++ b/src/node/admin.c
@@ -1,4 +1,4 @@
-/* The operators' port: state, draining, metrics. */
+/* The HTTP server for operators: state, draining, metrics. */
 #include "admin.h"
 #include "equal.h"
 #include "front.h"
@@ -21,17 +21,17 @@
 {
 	const char *key = http_bearer(c);
 	char *hex;
-	int same = 0;
+	int equal = 0;
 
 	if (key) {
 		hex = g_compute_checksum_for_string(G_CHECKSUM_SHA256, key, -1);
-		same = equal_secret(hex, node.cfg.admin_key_sha256, TBL_KEY_HEX);
+		equal = equal_secret(hex, node.cfg.admin_key_sha256, TBL_KEY_HEX);
 		g_free(hex);
 	}
-	if (!same)
+	if (!equal)
 		http_refuse(c, REF_UNAUTHORIZED, STEP_AUTH, 0,
 			    "the operators' key is missing or wrong");
-	return same;
+	return equal;
 }
 
 static const char *member_name(const struct view *v, uint64_t id)
@@ -73,7 +73,7 @@
 		m->peer_port, (unsigned long long)m->incarnation);
 }
 
-/* A list under one name, an entry for each i below n. */
+/* Sends {"name":[...]}, with the entries for 0 to n - 1 written by entry. */
 static int send_list(struct mg_connection *c, const char *name, const struct view *v,
 		     uint32_t n, void (*entry)(GString *s, const struct view *v, uint32_t i))
 {
--- a/src/node/admin_table.c
+++ b/src/node/admin_table.c
@@ -1,4 +1,4 @@
-/* The operators' table over HTTP. */
+/* HTTP handlers for reading and editing the operators' table. */
 #include "admin.h"
 #include "clock.h"
 #include "digest.h"
@@ -47,16 +47,16 @@
 	struct http_error h = {.err = *e, .ran = RAN_NO};
 
 	switch (rc) {
-	case -EINVAL: h.why = REF_BAD_REQUEST; break;
-	case -ENOENT: h.why = REF_NOT_FOUND; break;
-	case -ECANCELED: h.why = REF_CONFLICT; break;
+	case -EINVAL: h.reason = REF_BAD_REQUEST; break;
+	case -ENOENT: h.reason = REF_NOT_FOUND; break;
+	case -ECANCELED: h.reason = REF_CONFLICT; break;
 	case -EIO: h.ran = RAN_MAYBE; /* fallthrough */
-	default: h.why = REF_PLATFORM_DOWN; h.retry_after_ms = RETRY_MS;
+	default: h.reason = REF_PLATFORM_DOWN; h.retry_after_ms = RETRY_MS;
 	}
 	return http_error(c, &h);
 }
 
-/* 0, or -1 when the header is there and is no version. */
+/* Reads If-Match; *version is 0 without it or for "*". -1 if its value is not a version. */
 static int if_match(struct mg_connection *c, uint64_t *version)
 {
 	const char *h = mg_get_header(c, "If-Match");
@@ -88,7 +88,7 @@
 	return NULL;
 }
 
-static int do_edit(struct mg_connection *c, enum edit_type type, const char *group)
+static int handle_edit(struct mg_connection *c, enum edit_type type, const char *group)
 {
 	struct edit ed = {.type = type, .group = group};
 	struct err e = {0};
@@ -96,7 +96,8 @@
 	int rc;
 
 	if (if_match(c, &ed.if_match))
-		return http_refuse(c, REF_BAD_REQUEST, STEP_PARSE, 0, "If-Match is no version");
+		return http_refuse(c, REF_BAD_REQUEST, STEP_PARSE, 0,
+				   "If-Match is not a version");
 	if (type != EDIT_GROUP_DELETE && !(ed.value = read_value(c))) return 400;
 	rc = table_edit(&ed, &version, &e);
 	json_object_put(ed.value);
@@ -110,7 +111,7 @@
 	(void)arg;
 	if (!admin_allowed(c)) return 401;
 	if (!strcmp(method, "GET")) return send_table(c);
-	if (!strcmp(method, "PUT")) return do_edit(c, EDIT_TABLE, NULL);
+	if (!strcmp(method, "PUT")) return handle_edit(c, EDIT_TABLE, NULL);
 	return http_refuse(c, REF_METHOD, STEP_PARSE, 0, "only GET and PUT are served here");
 }
 
@@ -124,9 +125,10 @@
 	if (!*group)
 		return http_refuse(c, REF_NOT_FOUND, STEP_PARSE, 0,
 				   "the group's name is missing");
-	if (!strcmp(i->request_method, "PUT")) return do_edit(c, EDIT_GROUP_PUT, group);
-	if (!strcmp(i->request_method, "PATCH")) return do_edit(c, EDIT_GROUP_PATCH, group);
-	if (!strcmp(i->request_method, "DELETE")) return do_edit(c, EDIT_GROUP_DELETE, group);
+	if (!strcmp(i->request_method, "PUT")) return handle_edit(c, EDIT_GROUP_PUT, group);
+	if (!strcmp(i->request_method, "PATCH")) return handle_edit(c, EDIT_GROUP_PATCH, group);
+	if (!strcmp(i->request_method, "DELETE"))
+		return handle_edit(c, EDIT_GROUP_DELETE, group);
 	return http_refuse(c, REF_METHOD, STEP_PARSE, 0,
 			   "only PUT, PATCH and DELETE are served here");
 }
--- a/src/node/call.c
+++ b/src/node/call.c
@@ -95,7 +95,7 @@
 
 static void maybe(struct call *c, enum refusal why, uint32_t retry_ms, const char *text)
 {
-	struct http_error h = {.why = why, .ran = RAN_MAYBE, .retry_after_ms = retry_ms};
+	struct http_error h = {.reason = why, .ran = RAN_MAYBE, .retry_after_ms = retry_ms};
 
 	err_set(&h.err, -1, STEP_ADMIT, "", "%s", text);
 	http_error(c->conn, &h);
@@ -208,7 +208,7 @@
 
 static void fail(struct call *c, const struct req_msg *m, const char *peer)
 {
-	struct http_error e = {.why = REF_ENGINE_FAILED, .retry_after_ms = DOWN_RETRY_MS};
+	struct http_error e = {.reason = REF_ENGINE_FAILED, .retry_after_ms = DOWN_RETRY_MS};
 	int sent = !m || m->u.fail.sent;
 
 	e.ran = sent ? RAN_MAYBE : RAN_NO;
@@ -248,12 +248,12 @@
 	int any = 0;
 
 	for (;;) {
-		b = v ? places_take(v, c->service->id, (uint32_t)node.cfg.call_concurrency,
-				    avoid, &any)
+		b = v ? places_acquire(v, c->service->id, (uint32_t)node.cfg.call_concurrency,
+				       avoid, &any)
 		      : NULL;
 		if (!b) break;
 		m = exchange(c, b->address);
-		places_give(b->id);
+		places_release(b->id);
 		if (!again(c, m, tries++)) break;
 		met_retried(m->u.fail.why);
 		avoid = b->id;
@@ -274,7 +274,7 @@
 	struct call c = {.conn = conn};
 
 	met_add(MET_CALLS, 1);
-	if (node_lapsed())
+	if (node_address_lapsed())
 		return refuse(&c, REF_DRAINING, STEP_ADMIT, BUSY_RETRY_MS,
 			      "this instance is leaving; ask where again");
 	if (!read_call(&c)) {
--- a/src/node/cfg_line.c
+++ b/src/node/cfg_line.c
@@ -1,4 +1,4 @@
-/* Finds the line of a key: json-c keeps no positions. */
+/* Finds the line number of a key by scanning the text, since json-c keeps no positions. */
 #include "cfg.h"
 #include <string.h>
 
@@ -61,15 +61,15 @@
 int cfg_line(const char *text, const char *path)
 {
 	struct scan s = {.p = text, .line = 1};
-	const char *from;
+	const char *start;
 
 	while (*s.p) {
 		if (*s.p == '"') {
-			from = s.p + 1;
+			start = s.p + 1;
 			skip_string(&s);
 			if (!is_key(s.p) || s.depth >= DEPTH_MAX || s.depth < 1) continue;
-			s.key[s.depth] = from;
-			s.len[s.depth] = (size_t)(s.p - from - 1);
+			s.key[s.depth] = start;
+			s.len[s.depth] = (size_t)(s.p - start - 1);
 			if (matches(&s, path)) return s.line;
 			continue;
 		}
--- a/src/node/claim.c
+++ b/src/node/claim.c
@@ -38,7 +38,7 @@
 	uint64_t home = 0;
 
 	if (v)
-		home = view_place(v->member, v->nmembers, NULL,
+		home = view_owner(v->member, v->nmembers, NULL,
 				  hash_score(0, claim_shard_of(op->key)));
 	view_unref(v);
 	return home ? home : node.self.id;
--- a/src/node/docs.c
+++ b/src/node/docs.c
@@ -12,8 +12,8 @@
 };
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-/* Held while listeners run, so that they are told of versions in order. */
-static pthread_mutex_t tell_lock = PTHREAD_MUTEX_INITIALIZER;
+/* Held while listeners run, so that they see versions in order. */
+static pthread_mutex_t notify_lock = PTHREAD_MUTEX_INITIALIZER;
 static struct doc doc[WIRE_DOCS_MAX];
 static int ndocs;
 static void (*listener[LISTENERS_MAX])(int, const char *, size_t, uint64_t);
@@ -54,12 +54,12 @@
 	return -1;
 }
 
-void docs_on_new(void (*f)(int, const char *, size_t, uint64_t))
+void docs_on_update(void (*f)(int, const char *, size_t, uint64_t))
 {
 	listener[nlisteners++] = f;
 }
 
-static int take(struct doc *d, uint64_t version, const char *data, size_t len)
+static int store_newer(struct doc *d, uint64_t version, const char *data, size_t len)
 {
 	int newer;
 
@@ -74,14 +74,14 @@
 	return newer;
 }
 
-int docs_offer(int i, uint64_t version, const char *data, size_t len)
+int docs_update(int i, uint64_t version, const char *data, size_t len)
 {
 	int k, newer;
 
-	pthread_mutex_lock(&tell_lock);
-	newer = take(&doc[i], version, data, len);
+	pthread_mutex_lock(&notify_lock);
+	newer = store_newer(&doc[i], version, data, len);
 	for (k = 0; newer && k < nlisteners; k++) listener[k](i, data, len, version);
-	pthread_mutex_unlock(&tell_lock);
+	pthread_mutex_unlock(&notify_lock);
 	return newer;
 }
 
--- a/src/node/front.c
+++ b/src/node/front.c
@@ -1,4 +1,4 @@
-/* The callers' port. */
+/* The HTTP server for callers. */
 #include "front.h"
 #include "call.h"
 #include "gen.h"
@@ -8,7 +8,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SPARE_THREADS 16 /* beyond the open requests, to refuse the rest at once */
+#define REFUSAL_THREADS                                                       \
+	16 /* beyond limits.requests, to refuse excess requests without delay \
+	    */
 #define WRITE_TIMEOUT_MS "20000"
 
 static struct mg_context *ctx;
@@ -44,7 +46,7 @@
 						 {"/v1/call/", on_call},
 						 {"/v1/where$", on_where},
 						 {NULL, NULL}};
-	int nthreads = (int)node.cfg.requests + SPARE_THREADS;
+	int nthreads = (int)node.cfg.requests + REFUSAL_THREADS;
 	char listen[160], threads[16];
 	const char *opt[] = {"listening_ports",
 			     listen,
--- a/src/node/gen.c
+++ b/src/node/gen.c
@@ -15,7 +15,7 @@
 static void give_up(struct gen *g, enum refusal why, enum ran ran, uint32_t retry_ms,
 		    enum step step, const char *peer, const char *text)
 {
-	struct http_error e = {.why = why, .ran = ran, .retry_after_ms = retry_ms};
+	struct http_error e = {.reason = why, .ran = ran, .retry_after_ms = retry_ms};
 
 	err_set(&e.err, -1, step, peer, "%s", text);
 	g->state = GEN_OVER;
@@ -310,7 +310,7 @@
 	struct gen *g = g_new0(struct gen, 1);
 
 	met_add(MET_REQUESTS, 1);
-	if (node_lapsed()) {
+	if (node_address_lapsed()) {
 		g_free(g);
 		return http_refuse(c, REF_DRAINING, STEP_ADMIT, 100,
 				   "this instance is leaving; ask where again");
--- a/src/node/gen_reader.c
+++ b/src/node/gen_reader.c
@@ -179,7 +179,7 @@
 		http_error(g->conn, e);
 		return;
 	}
-	met_refused(e->why);
+	met_refused(e->reason);
 	s = g_string_new("event: error\ndata: ");
 	http_error_json(s, e);
 	g_string_append(s, "\n\n");
--- a/src/node/http.c
+++ b/src/node/http.c
@@ -6,17 +6,17 @@
 #include <time.h>
 #include <urcu.h>
 
-#define WORKER 1 /* CivetWeb's type of a thread that serves connections */
-#define START_MS 10000
-#define SETTLE_MS 20
+#define WORKER 1 /* CivetWeb's thread type of connection workers */
+#define WORKER_START_MS 10000
+#define WORKER_SETTLE_MS 20
 
 static const char *const ran_names[] = {"no", "maybe", "yes"};
 
 void http_error_json(GString *out, const struct http_error *e)
 {
 	g_string_append_printf(
-		out, "{\"error\":{\"code\":\"%s\",\"message\":", refusal_info(e->why)->code);
-	jsonw_str(out, e->err.text[0] ? e->err.text : refusal_info(e->why)->code);
+		out, "{\"error\":{\"code\":\"%s\",\"message\":", refusal_info(e->reason)->code);
+	jsonw_str(out, e->err.text[0] ? e->err.text : refusal_info(e->reason)->code);
 	g_string_append_printf(out, ",\"step\":\"%s\",\"peer\":", err_step_name(e->err.step));
 	jsonw_str(out, e->err.peer);
 	g_string_append_printf(out, ",\"ran\":\"%s\",\"retry_after_ms\":", ran_names[e->ran]);
@@ -28,11 +28,11 @@
 
 int http_error(struct mg_connection *c, const struct http_error *e)
 {
-	const struct refusal_info *i = refusal_info(e->why);
+	const struct refusal_info *i = refusal_info(e->reason);
 	GString *s = g_string_new(NULL);
 	char extra[64] = "";
 
-	met_refused(e->why);
+	met_refused(e->reason);
 	http_error_json(s, e);
 	if (e->retry_after_ms)
 		g_snprintf(extra, sizeof extra, "Retry-After: %u\r\n",
@@ -47,7 +47,7 @@
 int http_refuse(struct mg_connection *c, enum refusal why, enum step step, uint32_t retry_ms,
 		const char *text)
 {
-	struct http_error e = {.why = why, .ran = RAN_NO, .retry_after_ms = retry_ms};
+	struct http_error e = {.reason = why, .ran = RAN_NO, .retry_after_ms = retry_ms};
 
 	err_set(&e.err, -1, step, "", "%s", text);
 	return http_error(c, &e);
@@ -75,20 +75,20 @@
 
 char *http_body(struct mg_connection *c, size_t max, size_t *len, enum refusal *why)
 {
-	long long want = mg_get_request_info(c)->content_length;
+	long long expected = mg_get_request_info(c)->content_length;
 	GString *s;
 	char buf[8192];
 	int n;
 
 	*why = REF_TOO_LARGE;
-	if (want > (long long)max) {
+	if (expected > (long long)max) {
 		mg_disable_keep_alive(c);
 		return NULL;
 	}
 	s = g_string_new(NULL);
 	while (s->len <= max && (n = mg_read(c, buf, sizeof buf)) > 0)
 		g_string_append_len(s, buf, n);
-	if (s->len <= max && (want < 0 || s->len == (gsize)want)) {
+	if (s->len <= max && (expected < 0 || s->len == (gsize)expected)) {
 		*len = s->len;
 		return g_string_free(s, FALSE);
 	}
@@ -135,7 +135,7 @@
 	return mg_write(c, "0\r\n\r\n", 5) == 5 ? 0 : -1;
 }
 
-/* CivetWeb says "malformed" also of headers that are over its limit. */
+/* CivetWeb reports oversized headers as malformed too, so the message names both causes. */
 int http_on_error(struct mg_connection *c, int status, const char *text)
 {
 	int large = status == 413 || status == 414 || status == 431;
@@ -157,19 +157,19 @@
 	return NULL;
 }
 
-int http_workers(void)
+int http_worker_count(void)
 {
 	return workers;
 }
 
-void http_await_workers(int before, int n)
+void http_wait_workers(int before, int n)
 {
 	const struct timespec ms = {0, 1000000};
 	int i;
 
-	for (i = 0; i < START_MS && workers - before < n; i++) nanosleep(&ms, NULL);
-	/* The last ones are between the callback and their wait. */
-	for (i = 0; i < SETTLE_MS; i++) nanosleep(&ms, NULL);
+	for (i = 0; i < WORKER_START_MS && workers - before < n; i++) nanosleep(&ms, NULL);
+	/* The last threads may not yet wait for connections: the callback runs before that. */
+	for (i = 0; i < WORKER_SETTLE_MS; i++) nanosleep(&ms, NULL);
 }
 
 void http_thread_stop(const struct mg_context *ctx, int type, void *p)
--- a/src/node/http_serve.c
+++ b/src/node/http_serve.c
@@ -1,27 +1,27 @@
-/* A port of an instance: its paths, and those that both ports have. */
+/* Starts an HTTP server with the paths of one port and those common to both. */
 #include "http.h"
 
-static void set_paths(struct mg_context *ctx, const struct http_path *p)
+static void register_paths(struct mg_context *ctx, const struct http_path *p)
 {
-	for (; p->path; p++) mg_set_request_handler(ctx, p->path, p->serve, NULL);
+	for (; p->path; p++) mg_set_request_handler(ctx, p->path, p->handler, NULL);
 }
 
 struct mg_context *http_serve(const char **options, int threads, const struct http_path *paths)
 {
-	static const struct http_path shared[] = {{"/healthz$", probe_health},
-						  {"/readyz$", probe_ready},
-						  {"/", probe_other},
-						  {NULL, NULL}};
+	static const struct http_path common_paths[] = {{"/healthz$", probe_health},
+							{"/readyz$", probe_ready},
+							{"/", probe_not_found},
+							{NULL, NULL}};
 	struct mg_callbacks cb = {.init_thread = http_thread_start,
 				  .exit_thread = http_thread_stop,
 				  .http_error = http_on_error};
-	int before = http_workers();
+	int workers_before = http_worker_count();
 	struct mg_context *ctx = mg_start(&cb, NULL, options);
 
 	if (!ctx) return NULL;
-	set_paths(ctx, paths);
-	set_paths(ctx, shared);
-	http_await_workers(before, threads);
+	register_paths(ctx, paths);
+	register_paths(ctx, common_paths);
+	http_wait_workers(workers_before, threads);
 	return ctx;
 }
 
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,4 +1,4 @@
-/* Starting and stopping one instance. */
+/* Start, draining and shutdown of an instance, and the handlers of new documents. */
 #include "claim.h"
 #include "clock.h"
 #include "digest.h"
@@ -45,7 +45,8 @@
 	char *text = g_strndup(data, len);
 	struct err e;
 
-	if (view_set_list(dc, text, &e)) log_warn("platform", "List of %s: %s.", dc, e.text);
+	if (view_set_list(dc, text, &e))
+		log_warn("platform", "Invalid list of data centre %s: %s.", dc, e.text);
 	g_free(text);
 }
 
@@ -60,6 +61,7 @@
 	peer_docs_changed();
 }
 
+/* Notifies all open requests that the view or the table changed. */
 static void recheck(void *arg)
 {
 	(void)arg;
@@ -79,7 +81,7 @@
 			 node.cfg.data_centres.item[i]);
 		docs_declare(key);
 	}
-	docs_on_new(on_new_doc);
+	docs_on_update(on_new_doc);
 }
 
 static void fill_self(uint16_t peer_port)
@@ -143,18 +145,19 @@
 
 	if (!atomic_compare_exchange_strong(&node.drain_us, &not_yet, clock_us())) return;
 	met_set(MET_G_DRAINING, 1);
-	log_info("drain", "Leaves the addresses given to callers; finishes what is open.");
+	log_info("drain",
+		 "Draining: no longer advertised to callers; open requests are completed.");
 	peer_leave();
 }
 
-int node_lapsed(void)
+int node_address_lapsed(void)
 {
 	return node.drain_us && clock_us() - node.drain_us >= node.cfg.where_ttl_ms * 1000;
 }
 
 int node_drained(void)
 {
-	return node_lapsed() && req_count() == 0;
+	return node_address_lapsed() && req_count() == 0;
 }
 
 void node_stop(void)
--- a/src/node/places.c
+++ b/src/node/places.c
@@ -20,20 +20,20 @@
 		g_hash_table_remove(open_calls, &id);
 }
 
-static int near(const struct backend *b)
+static int is_local(const struct backend *b)
 {
 	return !strcmp(b->dc, node.self.dc);
 }
 
-/* In this data centre first while it has places, then the fewest open calls. */
+/* Prefers backend servers of this data centre, then those with fewer open calls. */
 static int better(const struct backend *a, const struct backend *b)
 {
-	if (near(a) != near(b)) return near(a);
+	if (is_local(a) != is_local(b)) return is_local(a);
 	return count(a->id) < count(b->id);
 }
 
-const struct backend *places_take(const struct view *v, uint64_t service, uint32_t limit,
-				  uint64_t avoid, int *any)
+const struct backend *places_acquire(const struct view *v, uint64_t service, uint32_t limit,
+				     uint64_t avoid, int *any)
 {
 	const GPtrArray *a = view_service(v, service);
 	const struct backend *b, *best = NULL;
@@ -55,7 +55,7 @@
 	return best;
 }
 
-void places_give(uint64_t backend)
+void places_release(uint64_t backend)
 {
 	pthread_mutex_lock(&lock);
 	set(backend, count(backend) - 1);
--- a/src/node/platform.c
+++ b/src/node/platform.c
@@ -1,5 +1,6 @@
-/* The platform link: a few instances a data centre watch the documents; the rest hear of them
- * from their peers. Reconnection is spread out by back-off with full jitter. */
+/* Watches documents in the platform's store. Each document is watched by WATCHERS_PER_DC
+ * instances in each data centre; the others receive it from their peers. Failed watches are
+ * retried with exponential back-off and full jitter. */
 #include "clock.h"
 #include "docs.h"
 #include "hash.h"
@@ -16,18 +17,18 @@
 #include <strings.h>
 #include <urcu.h>
 
-#define WATCHERS 2 /* a document and data centre */
+#define WATCHERS_PER_DC 2 /* for each document */
 #define BACKOFF_MIN_US 50000
 #define BACKOFF_MAX_US 3000000
-#define ALONE_US 1000000
-#define LOOK_US 4000000
+#define SEED_WAIT_US 1000000
+#define FETCH_SPREAD_US 4000000
 #define POLL_US 100000
 #define KEY_BYTES 32
 
 struct watch {
 	int doc;
 	atomic_int busy;
-	int64_t next_us, backoff_us;
+	int64_t next_start_us, backoff_us;
 	GString *body;
 	uint64_t version;
 	struct mux_xfer *xfer;
@@ -36,7 +37,7 @@
 static struct {
 	pthread_t thread;
 	struct watch watch[WIRE_DOCS_MAX];
-	int n, key_asked;
+	int n, key_created;
 	int64_t started_us;
 } pl;
 
@@ -59,8 +60,8 @@
 	w->version = strtoull(line, NULL, 10);
 }
 
-/* Full jitter: anywhere up to us from now. */
-static int64_t spread(int64_t us)
+/* Full jitter: a random delay between 0 and us. */
+static int64_t random_delay(int64_t us)
 {
 	return (int64_t)(g_random_double() * (double)us);
 }
@@ -70,18 +71,18 @@
 	met_add(MET_KV_ERRORS, 1);
 	met_retried(RETRY_PLATFORM);
 	w->backoff_us = w->backoff_us * 2 > BACKOFF_MAX_US ? BACKOFF_MAX_US : w->backoff_us * 2;
-	w->next_us = clock_us() + spread(w->backoff_us);
+	w->next_start_us = clock_us() + random_delay(w->backoff_us);
 }
 
 static void on_done(struct mux_xfer *x, CURLcode rc, long status)
 {
 	struct watch *w = x->user;
 
-	if (w->next_us < clock_us()) w->next_us = clock_us();
+	if (w->next_start_us < clock_us()) w->next_start_us = clock_us();
 	if (rc == CURLE_OK && status == 200) {
-		/* An old value at once, where a newer one was waited for: not to be asked in a
-		 * loop. */
-		if (docs_offer(w->doc, w->version, w->body->str, w->body->len))
+		/* The store returned an older version at once instead of waiting for a newer
+		 * one: back off, or the watch would become a busy loop. */
+		if (docs_update(w->doc, w->version, w->body->str, w->body->len))
 			w->backoff_us = BACKOFF_MIN_US;
 		else if (w->version < docs_version(w->doc))
 			back_off(w);
@@ -110,61 +111,64 @@
 	if (mux_submit(node.platform, x)) w->busy = 0;
 }
 
-/* Whether this instance is one of the few in its data centre that watch the document. */
+/* Whether this instance watches the document: it is among the WATCHERS_PER_DC live instances of
+ * its data centre with the highest rendezvous hash. */
 static int is_watcher(const struct view *v, int doc)
 {
-	uint64_t mine = hash_score(docs_id(doc), node.self.id);
-	uint32_t i, ahead = 0;
+	uint64_t own_score = hash_score(docs_id(doc), node.self.id);
+	uint32_t i, higher = 0;
 
 	for (i = 0; i < v->nmembers; i++) {
 		if (v->member[i].id == node.self.id || v->member[i].state != MBR_ALIVE)
 			continue;
 		if (strcmp(v->member[i].dc, node.self.dc)) continue;
-		if (hash_score(docs_id(doc), v->member[i].id) > mine) ahead++;
+		if (hash_score(docs_id(doc), v->member[i].id) > own_score) higher++;
 	}
-	return ahead < WATCHERS;
+	return higher < WATCHERS_PER_DC;
 }
 
-/* The first instance that finds no event key makes one; a lost race is fine. */
-static void make_event_key(void)
+/* Creates the event key if this instance has none. kv_put writes only if the key does not
+ * exist, so losing the race to another instance is harmless. */
+static void create_event_key(void)
 {
 	GString *hex = g_string_new(NULL);
 	uint64_t version = 0;
 	struct err e;
 	int i;
 
-	if (docs_version(node.doc_event_key) || pl.key_asked) return;
+	if (docs_version(node.doc_event_key) || pl.key_created) return;
 	for (i = 0; i < KEY_BYTES / 4; i++) g_string_append_printf(hex, "%08x", g_random_int());
-	pl.key_asked = kv_put(DOC_EVENT_KEY, hex->str, hex->len, 0, &version, &e) != -EIO;
+	pl.key_created = kv_put(DOC_EVENT_KEY, hex->str, hex->len, 0, &version, &e) != -EIO;
 	g_string_free(hex, TRUE);
 }
 
-/* Until its seeds have told it of the others, an instance would take itself for a watcher. */
-static int alone_yet(const struct view *v, int64_t now)
+/* Before its seeds have sent it the member list, an instance would rank first for every
+ * document: for SEED_WAIT_US it starts no watches while it has no other member. */
+static int awaiting_seeds(const struct view *v, int64_t now)
 {
-	return v->nmembers == 1 && node.cfg.seeds.n && now - pl.started_us < ALONE_US;
+	return v->nmembers == 1 && node.cfg.seeds.n && now - pl.started_us < SEED_WAIT_US;
 }
 
-static void turn(void)
+static void start_watches(void)
 {
 	struct view *v = view_get();
 	int64_t now = clock_us();
 	int i, watcher;
 
 	if (!v) return;
-	for (i = 0; i < pl.n && !alone_yet(v, now); i++) {
+	for (i = 0; i < pl.n && !awaiting_seeds(v, now); i++) {
 		struct watch *w = &pl.watch[i];
 
-		if (w->busy || now < w->next_us) continue;
+		if (w->busy || now < w->next_start_us) continue;
 		watcher = is_watcher(v, w->doc);
 		if (!watcher && docs_version(w->doc)) continue;
 		watch_start(w, watcher);
-		/* One who only looks for a first version leaves its peers the time to bring it.
-		 */
-		if (!watcher) w->next_us = now + spread(LOOK_US);
+		/* Not a watcher, but no version yet: a single read without waiting, and the
+		 * next one later, so that a peer can deliver it meanwhile. */
+		if (!watcher) w->next_start_us = now + random_delay(FETCH_SPREAD_US);
 	}
 	view_unref(v);
-	make_event_key();
+	create_event_key();
 }
 
 static void *run(void *arg)
@@ -174,7 +178,7 @@
 	(void)arg;
 	rcu_register_thread();
 	while (!node.stopping) {
-		turn();
+		start_watches();
 		nanosleep(&ts, NULL);
 	}
 	rcu_unregister_thread();
--- a/src/node/probes.c
+++ b/src/node/probes.c
@@ -1,4 +1,4 @@
-/* What both ports answer alike: whether the process lives, whether it is ready, and no path. */
+/* Handlers common to both ports: health, readiness and unknown paths. */
 #include "docs.h"
 #include "http.h"
 #include "node.h"
@@ -12,18 +12,18 @@
 
 int probe_ready(struct mg_connection *c, void *arg)
 {
-	const char *why = NULL;
+	const char *reason = NULL;
 
 	(void)arg;
 	if (node.drain_us)
-		why = "draining\n";
+		reason = "draining\n";
 	else if (!docs_version(node.doc_table))
-		why = "no table yet\n";
-	if (why) return http_send(c, 503, "text/plain", why, strlen(why), NULL);
+		reason = "no table yet\n";
+	if (reason) return http_send(c, 503, "text/plain", reason, strlen(reason), NULL);
 	return http_send(c, 200, "text/plain", "ready\n", 6, NULL);
 }
 
-int probe_other(struct mg_connection *c, void *arg)
+int probe_not_found(struct mg_connection *c, void *arg)
 {
 	(void)arg;
 	return http_refuse(c, REF_NOT_FOUND, STEP_PARSE, 0, "no such path");
--- a/src/node/shares.c
+++ b/src/node/shares.c
@@ -98,7 +98,7 @@
 	struct view *v = view_get();
 	uint64_t home = 0;
 
-	if (v) home = view_place(v->member, v->nmembers, NULL, hash_score(1, group));
+	if (v) home = view_owner(v->member, v->nmembers, NULL, hash_score(1, group));
 	view_unref(v);
 	return home ? home : node.self.id;
 }
--- a/src/node/table_edit.c
+++ b/src/node/table_edit.c
@@ -9,8 +9,8 @@
 #include <glib.h>
 #include <string.h>
 
-#define CONFLICTS_MAX 8 /* an edit without If-Match is tried again so often */
-#define SETTLE_TRIES 3
+#define CONFLICTS_MAX 8 /* tries of an edit without If-Match */
+#define CONFIRM_TRIES 3
 
 static json_object *groups_of(json_object *root)
 {
@@ -22,25 +22,26 @@
 	return g;
 }
 
-static void patch(json_object *row, json_object *with)
+/* JSON merge patch (RFC 7396): null removes a field, objects merge, other values replace. */
+static void merge_patch(json_object *row, json_object *changes)
 {
 	json_object *old;
 
-	json_object_object_foreach(with, key, v)
+	json_object_object_foreach(changes, key, v)
 	{
 		if (json_object_is_type(v, json_type_null)) {
 			json_object_object_del(row, key);
 		} else if (json_object_is_type(v, json_type_object) &&
 			   json_object_object_get_ex(row, key, &old) &&
 			   json_object_is_type(old, json_type_object)) {
-			patch(old, v);
+			merge_patch(old, v);
 		} else {
 			json_object_object_add(row, key, json_object_get(v));
 		}
 	}
 }
 
-static int change_group(const struct edit *ed, json_object *root, struct err *e)
+static int edit_group(const struct edit *ed, json_object *root, struct err *e)
 {
 	json_object *groups = groups_of(root), *row;
 
@@ -54,12 +55,12 @@
 	if (ed->type == EDIT_GROUP_DELETE)
 		json_object_object_del(groups, ed->group);
 	else
-		patch(row, ed->value);
+		merge_patch(row, ed->value);
 	return 0;
 }
 
-/* The new text, or NULL with e set. */
-static char *changed_text(const struct edit *ed, const char *old, int *rc, struct err *e)
+/* Returns the text of the edited table, or NULL with *rc and e set. */
+static char *edited_text(const struct edit *ed, const char *old, int *rc, struct err *e)
 {
 	json_object *root;
 	char *text = NULL;
@@ -68,13 +69,13 @@
 		root = json_object_get(ed->value);
 	else
 		root = old ? json_tokener_parse(old) : json_object_new_object();
-	*rc = ed->type == EDIT_TABLE ? 0 : change_group(ed, root, e);
+	*rc = ed->type == EDIT_TABLE ? 0 : edit_group(ed, root, e);
 	if (!*rc) text = g_strdup(json_object_to_json_string_ext(root, JSON_C_TO_STRING_PLAIN));
 	json_object_put(root);
 	return text;
 }
 
-static int check(const char *text, struct err *e)
+static int validate(const char *text, struct err *e)
 {
 	struct tbl *t = tbl_parse(text, 0, e);
 
@@ -83,24 +84,26 @@
 	return 0;
 }
 
-/* The answer to a write was lost: what stands there tells whether it was made. */
-static int settle(const char *text, uint64_t *version, struct err *e)
+/* Reads the table back after a write without an answer, to find out whether it was made. */
+static int confirm_write(const char *text, uint64_t *version, struct err *e)
 {
-	char *now;
+	char *stored;
 	size_t len;
-	int i, same;
+	int i, equal;
 
-	for (i = 0; i < SETTLE_TRIES; i++) {
+	for (i = 0; i < CONFIRM_TRIES; i++) {
 		met_retried(RETRY_PLATFORM);
-		if (kv_get(DOC_TABLE, &now, &len, version, e)) continue;
-		same = !strcmp(now, text);
-		g_free(now);
-		if (same) return 0;
+		if (kv_get(DOC_TABLE, &stored, &len, version, e)) continue;
+		equal = !strcmp(stored, text);
+		g_free(stored);
+		if (equal) return 0;
 	}
 	return err_set(e, -EIO, STEP_PLATFORM, "",
 		       "the change may be accepted yet: read the table");
 }
 
+/* One read-modify-write cycle. -EPERM: if_match failed; -ECANCELED: the table changed
+ * meanwhile. */
 static int try_edit(const struct edit *ed, uint64_t *version, struct err *e)
 {
 	char *old = NULL, *text;
@@ -116,12 +119,12 @@
 		return err_set(e, -EPERM, STEP_PLATFORM, "", "the table is at version %llu",
 			       (unsigned long long)*version);
 	}
-	text = changed_text(ed, old, &rc, e);
+	text = edited_text(ed, old, &rc, e);
 	g_free(old);
-	if (!rc) rc = check(text, e);
+	if (!rc) rc = validate(text, e);
 	if (!rc) rc = kv_put(DOC_TABLE, text, strlen(text), *version, version, e);
-	if (rc == -EIO) rc = settle(text, version, e);
-	if (!rc) docs_offer(node.doc_table, *version, text, strlen(text));
+	if (rc == -EIO) rc = confirm_write(text, version, e);
+	if (!rc) docs_update(node.doc_table, *version, text, strlen(text));
 	g_free(text);
 	return rc;
 }
--- a/src/node/view.c
+++ b/src/node/view.c
@@ -15,8 +15,8 @@
 static struct mbr_info *members;
 static uint32_t nmembers;
 static GHashTable *lists; /* data centre -> struct list */
-/* RCU keeps what a reader just loaded alive until it holds a reference; the publication itself
- * is a C11 atomic, which ThreadSanitizer can follow. */
+/* RCU keeps a view or table that a reader just loaded alive until the reader holds a reference.
+ * The pointers are C11 atomics because ThreadSanitizer can follow those. */
 static _Atomic(struct view *) current;
 static _Atomic(struct tbl *) table;
 static struct {
@@ -46,7 +46,7 @@
 	pthread_mutex_unlock(&lock);
 }
 
-static uint64_t place_among(const struct mbr_info *m, uint32_t n, const char *dc, uint64_t key)
+static uint64_t owner_among(const struct mbr_info *m, uint32_t n, const char *dc, uint64_t key)
 {
 	uint64_t best = 0, id = 0, score;
 	uint32_t i;
@@ -62,11 +62,11 @@
 	return id;
 }
 
-uint64_t view_place(const struct mbr_info *m, uint32_t n, const char *dc, uint64_t key)
+uint64_t view_owner(const struct mbr_info *m, uint32_t n, const char *dc, uint64_t key)
 {
-	uint64_t id = place_among(m, n, dc, key);
+	uint64_t id = owner_among(m, n, dc, key);
 
-	return id ? id : place_among(m, n, NULL, key);
+	return id ? id : owner_among(m, n, NULL, key);
 }
 
 static void index_backend(struct view *v, struct backend *b)
@@ -93,7 +93,7 @@
 		struct backend *b = &v->backend[v->nbackends++];
 
 		*b = l->b[i];
-		b->keeper = view_place(v->member, v->nmembers, b->dc, b->id);
+		b->keeper = view_owner(v->member, v->nmembers, b->dc, b->id);
 	}
 }
 
@@ -129,7 +129,7 @@
 	g_free(v);
 }
 
-/* Called with the lock held; gives it back. */
+/* Builds and publishes a new view. Called with the lock held; releases it. */
 static void publish(void)
 {
 	struct view *old = current;
--- a/src/node/view_list.c
+++ b/src/node/view_list.c
@@ -1,11 +1,11 @@
-/* Reading the platform's list of backend servers. */
+/* Parser of the platform's lists of backend servers. */
 #include "hash.h"
 #include "view.h"
 #include <errno.h>
 #include <json-c/json.h>
 #include <string.h>
 
-static const char *text_of(json_object *o, const char *key)
+static const char *get_string(json_object *o, const char *key)
 {
 	json_object *v;
 
@@ -13,7 +13,7 @@
 	return json_object_is_type(v, json_type_string) ? json_object_get_string(v) : NULL;
 }
 
-static int flag_of(json_object *o, const char *key)
+static int get_flag(json_object *o, const char *key)
 {
 	json_object *v;
 
@@ -35,10 +35,10 @@
 	}
 }
 
-static int read_one(json_object *o, const char *dc, struct backend *b)
+static int read_backend(json_object *o, const char *dc, struct backend *b)
 {
-	const char *address = text_of(o, "address"), *kind = text_of(o, "kind");
-	const char *state = text_of(o, "state");
+	const char *address = get_string(o, "address"), *kind = get_string(o, "kind");
+	const char *state = get_string(o, "state");
 
 	if (!address || !kind || strlen(address) > VIEW_ADDRESS_MAX) return -EINVAL;
 	if (strcmp(kind, "engine") && strcmp(kind, "service")) return -EINVAL;
@@ -47,7 +47,7 @@
 	b->id = hash_name(address);
 	b->kind = strcmp(kind, "engine") ? BACKEND_SERVICE : BACKEND_ENGINE;
 	b->leaving = state && strcmp(state, "live") != 0;
-	b->fenced = flag_of(o, "fenced");
+	b->fenced = get_flag(o, "fenced");
 	read_services(o, b);
 	return 0;
 }
@@ -68,7 +68,7 @@
 	len = json_object_array_length(list);
 	b = g_new0(struct backend, len + 1);
 	for (i = 0; i < len; i++)
-		if (!read_one(json_object_array_get_idx(list, i), dc, &b[*n])) ++*n;
+		if (!read_backend(json_object_array_get_idx(list, i), dc, &b[*n])) ++*n;
 	json_object_put(root);
 	return b;
 }
--- a/src/node/where.c
+++ b/src/node/where.c
@@ -1,4 +1,4 @@
-/* GET /v1/where: which addresses to connect to. */
+/* GET /v1/where: addresses of instances that a caller may connect to. */
 #include "call.h"
 #include "hash.h"
 #include "http.h"
@@ -10,14 +10,16 @@
 
 #define ADDRESSES_MAX 3
 
-static int param(struct mg_connection *c, const char *name, char *out, size_t max)
+static int query_param(struct mg_connection *c, const char *name, char *out, size_t max)
 {
 	const char *q = mg_get_request_info(c)->query_string;
 
 	return q && mg_get_var(q, strlen(q), name, out, max) > 0;
 }
 
-static int check(struct mg_connection *c, struct tbl *t, const char *group, const char *service)
+/* 0, or the HTTP status of the refusal that was sent. */
+static int check_access(struct mg_connection *c, struct tbl *t, const char *group,
+			const char *service)
 {
 	const struct tbl_group *g;
 
@@ -35,10 +37,10 @@
 	return 0;
 }
 
-/* Random among the live ones, those of this data centre first. */
-static uint32_t choose(const struct view *v, const struct mbr_info **out)
+/* Picks up to ADDRESSES_MAX live members at random, those of this data centre first. */
+static uint32_t choose_instances(const struct view *v, const struct mbr_info **out)
 {
-	uint64_t salt = (uint64_t)g_random_int() << 32 | g_random_int(), best, score;
+	uint64_t seed = (uint64_t)g_random_int() << 32 | g_random_int(), best, score;
 	const struct mbr_info *m, *pick;
 	uint32_t i, k, n;
 
@@ -49,7 +51,7 @@
 			for (k = 0; k < n && out[k] != m; k++)
 				;
 			if (k < n) continue;
-			score = hash_score(salt, m->id) >> 1;
+			score = hash_score(seed, m->id) >> 1;
 			if (!strcmp(m->dc, node.self.dc)) score |= 1ull << 63;
 			if (pick && score <= best) continue;
 			pick = m;
@@ -63,23 +65,23 @@
 
 int where_serve(struct mg_connection *c)
 {
-	const struct mbr_info *at[ADDRESSES_MAX];
+	const struct mbr_info *chosen[ADDRESSES_MAX];
 	char group[TBL_NAME_MAX + 1] = "", service[TBL_NAME_MAX + 1] = "";
 	struct tbl *t;
 	struct view *v;
 	GString *s;
 	uint32_t i, n;
-	int bad;
+	int status;
 
-	if (!param(c, "group", group, sizeof group))
+	if (!query_param(c, "group", group, sizeof group))
 		return http_refuse(c, REF_BAD_REQUEST, STEP_PARSE, 0, "\"group\" is missing");
-	param(c, "service", service, sizeof service);
+	query_param(c, "service", service, sizeof service);
 	t = view_table();
-	bad = check(c, t, group, service);
+	status = check_access(c, t, group, service);
 	tbl_unref(t);
-	if (bad) return bad;
+	if (status) return status;
 	v = view_get();
-	n = v ? choose(v, at) : 0;
+	n = v ? choose_instances(v, chosen) : 0;
 	if (!n) {
 		view_unref(v);
 		return http_refuse(c, REF_DRAINING, STEP_ADMIT, 1000,
@@ -87,8 +89,8 @@
 	}
 	s = g_string_new("{\"addresses\":[");
 	for (i = 0; i < n; i++)
-		g_string_append_printf(s, "%s\"%s:%u\"", i ? "," : "", at[i]->ip,
-				       at[i]->front_port);
+		g_string_append_printf(s, "%s\"%s:%u\"", i ? "," : "", chosen[i]->ip,
+				       chosen[i]->front_port);
 	g_string_append_printf(s, "],\"ttl_ms\":%lld}", (long long)node.cfg.where_ttl_ms);
 	http_send_json(c, 200, s->str);
 	g_string_free(s, TRUE);
--- a/src/standin/common_http.c
+++ b/src/standin/common_http.c
@@ -80,13 +80,13 @@
 	snprintf(listen, sizeof listen, "127.0.0.1:%d", o->port);
 	snprintf(nthreads, sizeof nthreads, "%d", threads);
 	mg_init_library(0);
-	before = http_workers();
+	before = http_worker_count();
 	ctx = mg_start(&cb, NULL, opt);
 	if (!ctx) {
 		fprintf(stderr, "can't listen on %s\n", listen);
 		exit(1);
 	}
-	http_await_workers(before, threads);
+	http_wait_workers(before, threads);
 	return ctx;
 }
 
--- a/test/chaos_fault.c
+++ b/test/chaos_fault.c
@@ -67,7 +67,7 @@
 	int i;
 
 	for (i = 0; i < 1000; i++) {
-		if (fleet_ended(c->f, name)) return 1;
+		if (fleet_exited(c->f, name)) return 1;
 		usleep(10000);
 	}
 	return 0;
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -9,7 +9,7 @@
 #define POLLS_MAX 3000
 #define POLL_US 10000
 
-static void strings(json_object *o, const char *key, const char **out, int *n)
+static void read_strings(json_object *o, const char *key, const char **out, int *n)
 {
 	json_object *list;
 	size_t i;
@@ -39,18 +39,18 @@
 	if (system(cmd)) exit(99);
 	path = g_strdup_printf("%s/fleet.json", f->dir);
 	f->json = json_object_from_file(path);
-	strings(f->json, "entries", f->entry, &f->entries);
-	strings(f->json, "admin", f->admin, &n);
-	strings(f->json, "engines", f->engine, &f->engines);
-	strings(f->json, "services", f->service, &f->services);
+	read_strings(f->json, "entries", f->entry, &f->entries);
+	read_strings(f->json, "admin", f->admin, &n);
+	read_strings(f->json, "engines", f->engine, &f->engines);
+	read_strings(f->json, "services", f->service, &f->services);
 	f->kv = json_text_at(f->json, "kv");
 	g_free(path);
 	g_free(cmd);
 	return f;
 }
 
-/* A sanitizer's complaint in any process's log. */
-static int complaints(struct fleet *f)
+/* Searches the logs of all processes for sanitizer reports; 0 if there are none. */
+static int find_sanitizer_reports(struct fleet *f)
 {
 	char *cmd = g_strdup_printf(
 		"! grep -E 'AddressSanitizer|LeakSanitizer|ThreadSanitizer|runtime error' "
@@ -72,7 +72,7 @@
 	char *rm = g_strdup_printf("rm -rf %s", f->dir);
 	int rc = system(cmd);
 
-	if (!rc) rc = complaints(f);
+	if (!rc) rc = find_sanitizer_reports(f);
 	if (!getenv("KEEP") && system(rm)) fprintf(stderr, "can't remove %s\n", f->dir);
 	json_object_put(f->json);
 	g_free(rm);
@@ -96,7 +96,7 @@
 	kill(pid_of(f, process), sig);
 }
 
-int fleet_ended(struct fleet *f, const char *process)
+int fleet_exited(struct fleet *f, const char *process)
 {
 	return kill(pid_of(f, process), 0) != 0;
 }
@@ -149,7 +149,7 @@
 	json_object_put(fleet_call("POST", address, "/fault", NULL, fault, &status));
 }
 
-static json_object *at(json_object *o, const char *path)
+static json_object *value_at(json_object *o, const char *path)
 {
 	char **part = g_strsplit(path, ".", -1);
 	int i;
@@ -162,14 +162,14 @@
 
 int64_t json_int_at(json_object *o, const char *path)
 {
-	json_object *v = at(o, path);
+	json_object *v = value_at(o, path);
 
 	return v ? json_object_get_int64(v) : -1;
 }
 
 const char *json_text_at(json_object *o, const char *path)
 {
-	json_object *v = at(o, path);
+	json_object *v = value_at(o, path);
 
 	return v ? json_object_get_string(v) : NULL;
 }
@@ -217,8 +217,9 @@
 	return -1;
 }
 
-/* The stand-in's text is "TAG.OFFSET ": the tag names the generation. */
-static void check_text(struct stream *s, const char *text)
+/* The stand-in engine's tokens are "TAG.OFFSET ": checks that TAG, which identifies the
+ * generation, stays the same and that offsets are consecutive. */
+static void check_token_text(struct stream *s, const char *text)
 {
 	char tag[16] = "";
 	long offset = -1;
@@ -230,7 +231,7 @@
 	s->next = offset + 1;
 }
 
-static void take_data(struct stream *s, const char *data)
+static void on_event_data(struct stream *s, const char *data)
 {
 	json_object *o, *list, *first;
 	const char *text;
@@ -244,7 +245,7 @@
 		first = json_object_array_get_idx(list, 0);
 		text = json_text_at(first, "text");
 		if (!text) text = json_text_at(first, "delta.content");
-		if (text) check_text(s, text);
+		if (text) check_token_text(s, text);
 		s->events++;
 	} else if (o && json_text_at(o, "error.code")) {
 		s->error = 1;
@@ -252,12 +253,12 @@
 	json_object_put(o);
 }
 
-static void take_line(struct stream *s, const char *line)
+static void on_line(struct stream *s, const char *line)
 {
 	if (!strncmp(line, "id: ", 4))
 		g_strlcpy(s->id, line + 4, sizeof s->id);
 	else if (!strncmp(line, "data: ", 6))
-		take_data(s, line + 6);
+		on_event_data(s, line + 6);
 }
 
 static size_t on_stream(char *p, size_t size, size_t n, void *user)
@@ -270,7 +271,7 @@
 	g_string_append_len(s->raw, p, (gssize)(size * n));
 	while ((nl = strchr(s->raw->str + s->parsed, '\n'))) {
 		*nl = 0;
-		take_line(s, s->raw->str + s->parsed);
+		on_line(s, s->raw->str + s->parsed);
 		*nl = '\n';
 		s->parsed = (size_t)(nl - s->raw->str) + 1;
 	}
@@ -326,7 +327,7 @@
 	g_free(url);
 	pthread_mutex_lock(&s->lock);
 	s->status = status;
-	s->over = 1;
+	s->closed = 1;
 	pthread_cond_broadcast(&s->more);
 	pthread_mutex_unlock(&s->lock);
 	return NULL;
@@ -354,7 +355,7 @@
 	int got;
 
 	pthread_mutex_lock(&s->lock);
-	while (s->events < n && !s->over) pthread_cond_wait(&s->more, &s->lock);
+	while (s->events < n && !s->closed) pthread_cond_wait(&s->more, &s->lock);
 	got = s->events;
 	pthread_mutex_unlock(&s->lock);
 	return got;
--- a/test/fleet.h
+++ b/test/fleet.h
@@ -1,4 +1,4 @@
-/* A fleet of real processes for a test, and clients for it. */
+/* Starts a fleet of real processes for a test, and HTTP clients for it. */
 #ifndef SH_TEST_FLEET_H
 #define SH_TEST_FLEET_H
 #include "httpc.h"
@@ -20,62 +20,65 @@
 
 struct fleet_options {
 	int daemons, engines, services;
-	const char *engine_options, *settings; /* settings: members of the JSON object */
+	const char *engine_options, *settings; /* settings: members of a JSON object */
 };
 
-/* Ends the test program when the fleet can't be started. */
+/* Exits the test program if the fleet can't be started. */
 struct fleet *fleet_start(const struct fleet_options *o);
-/* 0, or another number when a process did not stop or a sanitizer complained. */
+/* Nonzero if a process did not stop or a log has a sanitizer report. */
 int fleet_stop(struct fleet *f);
 
-/* The process of "kv", "engine1", "service1", "entry1", ... */
+/* Sends sig to a process: "kv", "engine1", "service1", "entry1", ... */
 void fleet_signal(struct fleet *f, const char *process, int sig);
-/* Whether the process has ended (the fleet script is its parent, so it is seen at once). */
-int fleet_ended(struct fleet *f, const char *process);
+/* Whether the process has exited; seen at once, because its parent is the fleet script. */
+int fleet_exited(struct fleet *f, const char *process);
 
-/* The answer's JSON (put it), with *status; NULL when there was no JSON. */
+/* Sends a request with key as bearer token. Returns the response's JSON, to be put, or NULL if
+ * it is not JSON; *status is 0 if there was no response. */
 json_object *fleet_call(const char *method, const char *address, const char *path,
 			const char *key, const char *body, long *status);
-/* As fleet_call with more headers, "Name: value" each, ended by NULL. */
+/* As fleet_call, with headers "Name: value", terminated by NULL, instead of the key. */
 json_object *fleet_call_with(const char *method, const char *address, const char *path,
 			     const char *const *headers, const char *body, long *status);
+/* Injects faults into a stand-in process; fault is a JSON object. */
 void fleet_fault(const char *address, const char *fault);
-/* A number at a path of keys ("error.code" gives text), or -1 / NULL. */
+/* The number or text at a path of keys ("error.code"), or -1 or NULL if there is none. */
 int64_t json_int_at(json_object *o, const char *path);
 const char *json_text_at(json_object *o, const char *path);
-/* A counter of the daemon, summed over its labels when name has none. */
+/* A metric of the daemon; without labels in name, the sum over all labels. */
 double fleet_metric(const char *admin, const char *name);
-/* The version of the table in force at a daemon, or -1. */
+/* The version of the operators' table in force at a daemon, or -1. */
 int64_t fleet_table_version(const char *admin);
 
-/* Polls until f(arg) is true; 0, or -1 after a long time. Nothing depends on how long. */
+/* Polls until f(arg) is true: 0, or -1 after a timeout too long to affect any result. */
 int await(int (*f)(void *arg), void *arg);
 
-/* One streamed generation, read by a thread of its own. */
+/* A streamed generation, read by its own thread. */
 struct stream {
 	pthread_t thread;
 	pthread_mutex_t lock;
 	pthread_cond_t more;
 	char *address, *key, *body, *last_id;
-	int cut, over;
+	int cut, closed;
 	long status;
 	int events, done, error;
-	int out_of_order, mixed; /* broken promises */
-	long next;               /* offset expected in the token's text */
+	int out_of_order, mixed; /* violations: wrong offsets, tokens of several generations */
+	long next;               /* expected offset of the next token */
 	char tag[16];
-	char id[256]; /* of the last event */
+	char id[256]; /* of the last event received */
 	GString *raw, *line;
 	size_t parsed;
 };
 
-/* from: the offset of the first token expected. */
+/* Starts a generation, or resumes one after event last_id (may be NULL). from is the offset
+ * expected of the first token. */
 struct stream *stream_open(const char *address, const char *key, const char *body,
 			   const char *last_id, long from);
-/* Waits until n tokens came or it is over; returns how many. */
+/* Waits until n tokens arrived or the stream is closed; returns the tokens received. */
 int stream_wait(struct stream *s, int n);
-/* Waits for the end. */
+/* Waits until the stream is closed. */
 void stream_join(struct stream *s);
-/* Closes the connection from the reader's side and waits. */
+/* Closes the connection from the reader's side and waits for the reading thread. */
 void stream_cut(struct stream *s);
 void stream_free(struct stream *s);
 
--- a/test/fleet_check.c
+++ b/test/fleet_check.c
@@ -1,4 +1,4 @@
-/* A fleet for each test: started, stopped and looked at. */
+/* Starts, stops and checks the fleet of a test. */
 #include "fleet_check.h"
 #include <stdio.h>
 
@@ -17,7 +17,7 @@
 	CU_ASSERT_EQUAL(fleet_stop(f), 0);
 }
 
-void whole_and_right(struct stream *s, int n)
+void check_complete(struct stream *s, int n)
 {
 	stream_join(s);
 	CU_ASSERT_EQUAL(s->events, n);
@@ -26,7 +26,7 @@
 		printf("  %d events, done %d, status %ld\n", s->events, s->done, s->status);
 }
 
-int all_at(void *arg)
+int all_have_version(void *arg)
 {
 	struct version *v = arg;
 	int i, n = 0;
--- a/test/fleet_check.h
+++ b/test/fleet_check.h
@@ -1,4 +1,4 @@
-/* Tests that have a fleet each, of their own size, and what they ask of it. */
+/* Helpers for tests that start a fleet each. */
 #ifndef SH_TEST_FLEET_CHECK_H
 #define SH_TEST_FLEET_CHECK_H
 #include "check.h"
@@ -8,17 +8,18 @@
 #define STREAM(n) \
 	"{\"model\":\"brew\",\"prompt\":\"p\",\"stream\":true,\"x_output_tokens\":" #n "}"
 
-/* engine_options: may be NULL. */
+/* Starts a fleet; engine_options may be NULL. */
 struct fleet *fleet(int daemons, int engines, int services, const char *engine_options);
-/* Fails the test when a process did not stop or a sanitizer complained. */
+/* Stops the fleet; fails the test if a process did not stop or a log has a sanitizer report. */
 void stop(struct fleet *f);
-/* Waits for the stream's end: n events, in order, of one generation, without an error. */
-void whole_and_right(struct stream *s, int n);
+/* Waits until the stream is closed and checks that it has n tokens in order, of one generation,
+ * without an error. */
+void check_complete(struct stream *s, int n);
 
-/* A version of the table, for await: whether it is in force at all daemons. */
+/* For await: whether this version of the table is in force at all daemons. */
 struct version {
 	struct fleet *f;
 	int64_t want;
 };
-int all_at(void *version);
+int all_have_version(void *version);
 #endif
--- a/test/test_bookings.c
+++ b/test/test_bookings.c
@@ -146,7 +146,7 @@
 	CU_ASSERT_EQUAL(s, 503);
 	CU_ASSERT_EQUAL(runs(f), 0);
 	st = stream_open(f->entry[1], KEY_MEMBERS, STREAM(30), NULL, 0);
-	whole_and_right(st, 30);
+	check_complete(st, 30);
 	stream_free(st);
 	o = fleet_call("PATCH", f->admin[0], "/admin/v1/groups/packing", ADMIN_KEY,
 		       "{\"weight\":9}", &s);
--- a/test/test_daemons.c
+++ b/test/test_daemons.c
@@ -1,4 +1,4 @@
-/* Daemons that die or freeze, and what all keepers hold together, between real processes. */
+/* Daemons that are killed or suspended, and limits over all keepers, with real processes. */
 #include "fleet_check.h"
 #include <signal.h>
 #include <stdio.h>
@@ -7,7 +7,8 @@
 static void a_reader_resumes_at_another_daemon(void)
 {
 	struct fleet *f = fleet(3, 2, 1, NULL);
-	struct stream *s = stream_open(f->entry[2], KEY_MEMBERS, STREAM(300), NULL, 0), *rest;
+	struct stream *s = stream_open(f->entry[2], KEY_MEMBERS, STREAM(300), NULL, 0),
+		      *resumed;
 	char tag[16];
 	int got;
 
@@ -17,10 +18,10 @@
 	CU_ASSERT_FALSE(s->done);
 	got = s->events;
 	strcpy(tag, s->tag);
-	rest = stream_open(f->entry[0], KEY_MEMBERS, STREAM(300), s->id, s->next);
-	whole_and_right(rest, 300 - got);
-	CU_ASSERT_STRING_EQUAL(rest->tag, tag);
-	stream_free(rest);
+	resumed = stream_open(f->entry[0], KEY_MEMBERS, STREAM(300), s->id, s->next);
+	check_complete(resumed, 300 - got);
+	CU_ASSERT_STRING_EQUAL(resumed->tag, tag);
+	stream_free(resumed);
 	stream_free(s);
 	stop(f);
 }
@@ -32,7 +33,7 @@
 	char forged[256];
 	char *slash;
 
-	whole_and_right(s, 20);
+	check_complete(s, 20);
 	CU_ASSERT_FATAL(s->id[0]);
 	t = stream_open(f->entry[0], KEY_PACKING, STREAM(20), s->id, 0);
 	stream_join(t);
@@ -50,7 +51,7 @@
 	stop(f);
 }
 
-static int keeper_is(struct fleet *f, int admin, const char *engine, char *name, size_t max)
+static int get_keeper(struct fleet *f, int admin, const char *engine, char *name, size_t max)
 {
 	json_object *o, *list, *e;
 	size_t i;
@@ -68,15 +69,16 @@
 	return name[0] != 0;
 }
 
-/* What waits is granted by the next keeper, what runs is not cut. Killed, or frozen. */
-static void keeper_lost(int sig)
+/* Kills or stops the keeper of an engine: waiting requests are granted by its successor,
+ * running ones continue. */
+static void signal_keeper(int sig)
 {
 	struct fleet *f = fleet(3, 1, 1, "--max-running 2");
 	struct stream *s[6];
 	char keeper[32];
 	int i, at;
 
-	CU_ASSERT_FATAL(keeper_is(f, 0, f->engine[0], keeper, sizeof keeper));
+	CU_ASSERT_FATAL(get_keeper(f, 0, f->engine[0], keeper, sizeof keeper));
 	at = strcmp(keeper, "entry1") ? 0 : 1;
 	for (i = 0; i < 6; i++)
 		s[i] = stream_open(f->entry[at], KEY_MEMBERS, STREAM(400), NULL, 0);
@@ -84,7 +86,7 @@
 		;
 	fleet_signal(f, keeper, sig);
 	for (i = 0; i < 6; i++) {
-		whole_and_right(s[i], 400);
+		check_complete(s[i], 400);
 		stream_free(s[i]);
 	}
 	if (sig == SIGSTOP) fleet_signal(f, keeper, SIGCONT);
@@ -93,34 +95,35 @@
 
 static void waiting_requests_survive_their_keepers_death(void)
 {
-	keeper_lost(SIGKILL);
+	signal_keeper(SIGKILL);
 }
 
 static void waiting_requests_survive_a_frozen_keeper(void)
 {
-	keeper_lost(SIGSTOP);
+	signal_keeper(SIGSTOP);
 }
 
-struct span {
+struct change {
 	int64_t at;
 	int step;
 };
 
 static int by_time(const void *a, const void *b)
 {
-	const struct span *x = a, *y = b;
+	const struct change *x = a, *y = b;
 
 	if (x->at != y->at) return x->at < y->at ? -1 : 1;
 	return x->step - y->step;
 }
 
-/* The most generations at once over all engines, by the engines' own clocks (one machine's). */
-static int most_at_once(struct fleet *f, int *n)
+/* The largest number of concurrent generations over all engines, from the engines' journals;
+ * the engines share one machine's clock. *n is the number of generations. */
+static int max_concurrent(struct fleet *f, int *n)
 {
-	GArray *a = g_array_new(FALSE, FALSE, sizeof(struct span));
+	GArray *a = g_array_new(FALSE, FALSE, sizeof(struct change));
 	json_object *o, *list, *g;
-	int i, now = 0, most = 0;
-	struct span s;
+	int i, running = 0, max = 0;
+	struct change s;
 	size_t k;
 	long st;
 
@@ -129,9 +132,9 @@
 		json_object_object_get_ex(o, "generations", &list);
 		for (k = 0; k < json_object_array_length(list); k++) {
 			g = json_object_array_get_idx(list, k);
-			s = (struct span){json_int_at(g, "from_us"), 1};
+			s = (struct change){json_int_at(g, "from_us"), 1};
 			g_array_append_val(a, s);
-			s = (struct span){json_int_at(g, "to_us"), -1};
+			s = (struct change){json_int_at(g, "to_us"), -1};
 			g_array_append_val(a, s);
 		}
 		json_object_put(o);
@@ -139,18 +142,18 @@
 	g_array_sort(a, by_time);
 	*n = (int)a->len / 2;
 	for (k = 0; k < a->len; k++) {
-		now += g_array_index(a, struct span, k).step;
-		if (now > most) most = now;
+		running += g_array_index(a, struct change, k).step;
+		if (running > max) max = running;
 	}
 	g_array_free(a, TRUE);
-	return most;
+	return max;
 }
 
 static void a_ceiling_holds_over_all_keepers(void)
 {
 	struct fleet *f = fleet(4, 4, 0, NULL);
 	struct stream *s[40];
-	int i, n, most;
+	int i, n, max;
 	long st;
 
 	json_object_put(fleet_call("PATCH", f->admin[0], "/admin/v1/groups/packing", ADMIN_KEY,
@@ -159,18 +162,18 @@
 	for (i = 0; i < f->entries; i++) {
 		struct version v = {f, fleet_table_version(f->admin[0])};
 
-		CU_ASSERT_EQUAL(await(all_at, &v), 0);
+		CU_ASSERT_EQUAL(await(all_have_version, &v), 0);
 	}
 	for (i = 0; i < 40; i++)
 		s[i] = stream_open(f->entry[i % 4], KEY_PACKING, STREAM(40), NULL, 0);
 	for (i = 0; i < 40; i++) {
-		whole_and_right(s[i], 40);
+		check_complete(s[i], 40);
 		stream_free(s[i]);
 	}
-	most = most_at_once(f, &n);
+	max = max_concurrent(f, &n);
 	CU_ASSERT_EQUAL(n, 40);
-	CU_ASSERT(most >= 1 && most <= 5);
-	if (most < 1 || most > 5) printf("  %d at once\n", most);
+	CU_ASSERT(max >= 1 && max <= 5);
+	if (max < 1 || max > 5) printf("  %d at once\n", max);
 	stop(f);
 }
 
--- a/test/test_docs.c
+++ b/test/test_docs.c
@@ -1,14 +1,11 @@
-/* Documents on their way between daemons: the peer thread in this process, the others played.
- * The failure that is looked for:
- *
- * Symptom: after a large document has changed, daemons on small links take each other for dead,
- * and what was confirmed is in force late there.
- * Sequence: each PING and ACK tells the versions. Whoever is behind answers each of them with a
- * question, to whoever it came from, until a whole document is here; a newcomer, which is sent
- * its news in many ACKs, asks for every document as many times on one link. Whoever is asked
- * puts a whole document for each question onto the link that carries heartbeats, tickets,
- * claims and shares, which then wait behind it; beyond 4 MB they are dropped.
- * Cause: nothing notes that a document is under way, and nothing bounds the copies. */
+/* Transfer of documents between daemons: the peer thread runs in this process, its peers are
+ * simulated.
+ * Guards against daemons on slow links that take each other for dead after a large document
+ * changed. Every PING and ACK announces document versions. Without a record of fetches in
+ * progress and a bound on copies, an instance that is behind requests a document again on each
+ * of these messages, and each request queues a whole copy in front of heartbeats, tickets,
+ * claims and shares; beyond 4 MB a link drops them. An instance that joins is hit hardest: it
+ * receives the member list in many ACKs and requests every document after each. */
 #include "check.h"
 #include "clock.h"
 #include "docs.h"
@@ -25,31 +22,35 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define OTHERS 6
-#define AT_ONCE 2          /* copies that one instance hands on */
-#define LARGE (1u << 20)   /* bytes of a document */
-#define COPY_MIN 65536     /* no other message is so large */
-#define RECEIVE_BYTES 8192 /* that the kernel keeps: what isn't read must not be sent */
-#define TELL_US 50000
-#define PART_US 250000 /* between two parts of a copy that is sent slowly */
+#define PEERS 6
+#define MAX_COPIES 2     /* copies that an instance serves at the same time */
+#define LARGE (1u << 20) /* bytes of a document */
+#define COPY_MIN 65536   /* only a copy of the document is this large */
+/* Socket receive buffer, small so that unread data stays with the sender. */
+#define RECEIVE_BYTES 8192
+#define HEARTBEAT_US 50000
+#define PART_INTERVAL_US 250000 /* between two parts of a slow copy */
 #define PARTS 6
-#define MANY 16 /* large messages: more than a link takes that isn't read */
+#define MANY 16 /* more large messages than an unread link queues */
 
-struct other {
+struct fake_peer {
 	struct mbr_info self;
 	int listen_fd;
 	GPtrArray *links;
-	struct plink *asked; /* where the last question came */
-	struct plink *copy;  /* where a copy has begun to come */
-	struct plink *part;  /* where a copy was sent in part: nothing else fits in between */
-	int gets, wants, has, stalled;
+	struct plink *request_link; /* on which the last request arrived */
+	struct plink *copy_link;    /* on which a copy is arriving */
+	struct plink *part_link;    /* in the middle of a copy: no other frame may be sent */
+	int requests_seen;          /* WIRE_DOC_GETs received */
+	int requesting;             /* asks for the document until a copy arrives */
+	int received;               /* whole copies */
+	int stalled;                /* stops reading once a copy has begun */
 };
 
-static struct other other[OTHERS];
+static struct fake_peer fake_peer[PEERS];
 static uint16_t port;
-static int doc, gone;
-static uint64_t told; /* the version that the others tell of */
-static int64_t tell_us;
+static int doc, stopped;
+static uint64_t announced; /* the version that the peers announce; 0: none */
+static int64_t next_heartbeat_us;
 static char large[LARGE];
 
 static void start(void)
@@ -90,7 +91,7 @@
 	msgpack_sbuffer_destroy(&b);
 }
 
-static void say_hello(struct other *o, struct plink *l)
+static void send_hello(struct fake_peer *o, struct plink *l)
 {
 	struct wire_msg m = {.type = WIRE_HELLO};
 
@@ -99,17 +100,17 @@
 	send_msg(l, &m);
 }
 
-static void tell(struct other *o, struct plink *l)
+static void send_versions(struct fake_peer *o, struct plink *l)
 {
 	struct wire_msg m = {.type = WIRE_ACK};
 
-	m.u.ping.ndocs = told ? 1 : 0;
-	m.u.ping.doc[0] = (struct wire_version){docs_id(doc), told};
+	m.u.ping.ndocs = announced ? 1 : 0;
+	m.u.ping.doc[0] = (struct wire_version){docs_id(doc), announced};
 	m.u.ping.news[m.u.ping.nnews++] = o->self;
 	send_msg(l, &m);
 }
 
-static void ask(struct plink *l)
+static void request_doc(struct plink *l)
 {
 	struct wire_msg m = {.type = WIRE_DOC_GET};
 
@@ -124,7 +125,7 @@
 	msgpack_sbuffer b;
 
 	m.u.doc.doc = docs_id(doc);
-	m.u.doc.version = told;
+	m.u.doc.version = announced;
 	m.u.doc.data = large;
 	m.u.doc.len = LARGE;
 	msgpack_sbuffer_init(&b);
@@ -135,7 +136,7 @@
 	msgpack_sbuffer_destroy(&b);
 }
 
-static struct plink *add_link(struct other *o, int fd, int connecting)
+static struct plink *add_link(struct fake_peer *o, int fd, int connecting)
 {
 	struct plink *l;
 
@@ -146,7 +147,7 @@
 	return l;
 }
 
-static void begin(struct other *o, int i)
+static void start_peer(struct fake_peer *o, int i)
 {
 	struct sockaddr_in a = {.sin_family = AF_INET, .sin_port = 0};
 	socklen_t n = sizeof a;
@@ -169,75 +170,75 @@
 	setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
 	a.sin_port = htons(port);
 	CU_ASSERT_EQUAL(connect(fd, (struct sockaddr *)&a, sizeof a), 0);
-	say_hello(o, add_link(o, fd, 1));
+	send_hello(o, add_link(o, fd, 1));
 }
 
-static void drop_link(struct other *o, struct plink *l)
+static void drop_link(struct fake_peer *o, struct plink *l)
 {
-	if (o->asked == l) o->asked = NULL;
-	if (o->copy == l) o->copy = NULL;
-	if (o->part == l) o->part = NULL;
+	if (o->request_link == l) o->request_link = NULL;
+	if (o->copy_link == l) o->copy_link = NULL;
+	if (o->part_link == l) o->part_link = NULL;
 	g_ptr_array_remove(o->links, l);
 	plink_free(l);
 }
 
-static void end(struct other *o)
+static void stop_peer(struct fake_peer *o)
 {
 	while (o->links->len) drop_link(o, o->links->pdata[0]);
 	g_ptr_array_unref(o->links);
 	close(o->listen_fd);
 }
 
-static void on_msg(struct other *o, struct plink *l, const struct wire_msg *m)
+static void on_msg(struct fake_peer *o, struct plink *l, const struct wire_msg *m)
 {
-	if (m->type == WIRE_HELLO && !l->outgoing) say_hello(o, l);
+	if (m->type == WIRE_HELLO && !l->outgoing) send_hello(o, l);
 	if (m->type == WIRE_DOC_GET && m->u.doc.doc == docs_id(doc)) {
-		o->gets++;
-		o->asked = l;
+		o->requests_seen++;
+		o->request_link = l;
 	}
 	if (m->type == WIRE_DOC && m->u.doc.len == LARGE) {
-		o->copy = NULL;
-		o->has++;
+		o->copy_link = NULL;
+		o->received++;
 	}
 }
 
-/* Hands on every whole frame, and notes when a copy has begun. */
-static void cut_frames(struct other *o, struct plink *l)
+/* Dispatches every complete frame and notes when a copy has begun. */
+static void decode_frames(struct fake_peer *o, struct plink *l)
 {
-	msgpack_unpacked hold;
+	msgpack_unpacked unpacked;
 	struct wire_msg m;
 	uint32_t len;
 
-	msgpack_unpacked_init(&hold);
+	msgpack_unpacked_init(&unpacked);
 	while (l->in->len >= sizeof len) {
 		memcpy(&len, l->in->data, sizeof len);
 		len = ntohl(len);
-		if (len >= COPY_MIN) o->copy = l;
+		if (len >= COPY_MIN) o->copy_link = l;
 		if (l->in->len - sizeof len < len) break;
-		CU_ASSERT_EQUAL(wire_decode((char *)l->in->data + sizeof len, len, &m, &hold),
-				0);
+		CU_ASSERT_EQUAL(
+			wire_decode((char *)l->in->data + sizeof len, len, &m, &unpacked), 0);
 		on_msg(o, l, &m);
 		g_byte_array_remove_range(l->in, 0, (guint)sizeof len + len);
 	}
-	msgpack_unpacked_destroy(&hold);
+	msgpack_unpacked_destroy(&unpacked);
 }
 
-static int read_link(struct other *o, struct plink *l)
+static int read_link(struct fake_peer *o, struct plink *l)
 {
 	guint8 buf[512];
 	ssize_t n;
 
-	while (!o->stalled || o->copy != l) {
+	while (!o->stalled || o->copy_link != l) {
 		n = recv(l->fd, buf, sizeof buf, 0);
 		if (n < 0) return 0;
 		if (n == 0) return -1;
 		g_byte_array_append(l->in, buf, (guint)n);
-		cut_frames(o, l);
+		decode_frames(o, l);
 	}
 	return 0;
 }
 
-static void turn_of(struct other *o, int beat)
+static void poll_peer(struct fake_peer *o, int heartbeat)
 {
 	struct plink *l;
 	guint i;
@@ -251,147 +252,150 @@
 			return;
 		}
 	}
-	if (!beat || !o->links->len) return;
-	if (o->part != o->links->pdata[0]) tell(o, o->links->pdata[0]);
-	if (o->wants && !o->copy && !o->has) ask(o->links->pdata[0]);
+	if (!heartbeat || !o->links->len) return;
+	if (o->part_link != o->links->pdata[0]) send_versions(o, o->links->pdata[0]);
+	if (o->requesting && !o->copy_link && !o->received) request_doc(o->links->pdata[0]);
 }
 
-static void turn(void)
+static void poll_peers(void)
 {
-	int i, beat = clock_us() >= tell_us;
+	int i, heartbeat = clock_us() >= next_heartbeat_us;
 
-	if (beat) tell_us = clock_us() + TELL_US;
-	for (i = 0; i < OTHERS; i++)
-		if (i != gone) turn_of(&other[i], beat);
+	if (heartbeat) next_heartbeat_us = clock_us() + HEARTBEAT_US;
+	for (i = 0; i < PEERS; i++)
+		if (i != stopped) poll_peer(&fake_peer[i], heartbeat);
 	g_usleep(1000);
 }
 
-static void turns(int64_t us)
+static void poll_for(int64_t us)
 {
 	int64_t until = clock_us() + us;
 
-	while (clock_us() < until) turn();
+	while (clock_us() < until) poll_peers();
 }
 
-static int gets(void)
+static int total_requests(void)
 {
 	int i, n = 0;
 
-	for (i = 0; i < OTHERS; i++) n += other[i].gets;
+	for (i = 0; i < PEERS; i++) n += fake_peer[i].requests_seen;
 	return n;
 }
 
-static int copies(void)
+static int copies_started(void)
 {
 	int i, n = 0;
 
-	for (i = 0; i < OTHERS; i++) n += other[i].copy != NULL;
+	for (i = 0; i < PEERS; i++) n += fake_peer[i].copy_link != NULL;
 	return n;
 }
 
-static int have(void)
+static int copies_received(void)
 {
 	int i, n = 0;
 
-	for (i = 0; i < OTHERS; i++) n += other[i].has;
+	for (i = 0; i < PEERS; i++) n += fake_peer[i].received;
 	return n;
 }
 
-static void begin_all(int which)
+static void start_peers(int document)
 {
 	int i;
 
-	doc = which;
-	told = 0;
-	gone = -1;
-	for (i = 0; i < OTHERS; i++) begin(&other[i], i);
-	turns(200000);
+	doc = document;
+	announced = 0;
+	stopped = -1;
+	for (i = 0; i < PEERS; i++) start_peer(&fake_peer[i], i);
+	poll_for(200000);
 }
 
-static void end_all(void)
+static void stop_peers(void)
 {
 	int i;
 
-	for (i = 0; i < OTHERS; i++) end(&other[i]);
+	for (i = 0; i < PEERS; i++) stop_peer(&fake_peer[i]);
 }
 
-/* The one that is asked now, of whom there is one more than before; NULL when there is none. */
-static struct other *asked_now(int before, int64_t within_us)
+/* Waits for a request beyond the first before; returns the peer that received it, or NULL. */
+static struct fake_peer *wait_for_request(int before, int64_t within_us)
 {
 	int64_t until = clock_us() + within_us;
-	int i, was[OTHERS];
+	int i, counts_before[PEERS];
 
-	for (i = 0; i < OTHERS; i++) was[i] = other[i].gets;
-	while (gets() == before && clock_us() < until) turn();
-	for (i = 0; i < OTHERS; i++)
-		if (other[i].gets > was[i]) return &other[i];
+	for (i = 0; i < PEERS; i++) counts_before[i] = fake_peer[i].requests_seen;
+	while (total_requests() == before && clock_us() < until) poll_peers();
+	for (i = 0; i < PEERS; i++)
+		if (fake_peer[i].requests_seen > counts_before[i]) return &fake_peer[i];
 	return NULL;
 }
 
-/* All tell of it twenty times a second; one is asked, while its answer comes however slowly. */
+/* All peers announce a newer version 20 times a second. Only one is asked for it, as long as
+ * its copy makes progress, however slow. */
 static void a_document_under_way_is_not_asked_for_again(void)
 {
-	struct other *o;
-	size_t part = LARGE / PARTS / 2;
+	struct fake_peer *o;
+	size_t part_bytes = LARGE / PARTS / 2;
 	int64_t until;
 	int i;
 
-	begin_all(node.doc_table);
-	told = 5;
-	o = asked_now(0, 1000000);
+	start_peers(node.doc_table);
+	announced = 5;
+	o = wait_for_request(0, 1000000);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(o);
-	/* Not where heartbeats are. */
-	CU_ASSERT(o->asked != o->links->pdata[0]);
-	turns(PART_US);
-	CU_ASSERT_EQUAL(gets(), 1);
-	for (i = 0; i < PARTS && o->asked; i++) {
-		o->part = o->asked;
-		send_copy(o->asked, part * (size_t)i, part * (size_t)(i + 1));
-		turns(PART_US);
+	/* The request is not on the link that carries heartbeats. */
+	CU_ASSERT(o->request_link != o->links->pdata[0]);
+	poll_for(PART_INTERVAL_US);
+	CU_ASSERT_EQUAL(total_requests(), 1);
+	for (i = 0; i < PARTS && o->request_link; i++) {
+		o->part_link = o->request_link;
+		send_copy(o->request_link, part_bytes * (size_t)i,
+			  part_bytes * (size_t)(i + 1));
+		poll_for(PART_INTERVAL_US);
 	}
-	CU_ASSERT_EQUAL(gets(), 1);
-	if (gets() != 1) printf("  %d questions\n", gets());
-	/* Nothing more comes: it is asked for again. Then the one that is asked goes. */
-	o = asked_now(gets(), 3000000);
+	CU_ASSERT_EQUAL(total_requests(), 1);
+	if (total_requests() != 1) printf("  %d questions\n", total_requests());
+	/* No progress: the document is requested again. Then the peer asked disconnects. */
+	o = wait_for_request(total_requests(), 3000000);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(o);
-	CU_ASSERT_EQUAL(gets(), 2);
-	gone = (int)(o - other);
+	CU_ASSERT_EQUAL(total_requests(), 2);
+	stopped = (int)(o - fake_peer);
 	while (o->links->len) drop_link(o, o->links->pdata[0]);
-	o = asked_now(gets(), 3000000);
+	o = wait_for_request(total_requests(), 3000000);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(o);
-	CU_ASSERT_EQUAL(gets(), 3);
-	if (o->asked) send_copy(o->asked, 0, SIZE_MAX);
+	CU_ASSERT_EQUAL(total_requests(), 3);
+	if (o->request_link) send_copy(o->request_link, 0, SIZE_MAX);
 	until = clock_us() + 3000000;
-	while (docs_version(doc) != 5 && clock_us() < until) turn();
-	turns(500000);
+	while (docs_version(doc) != 5 && clock_us() < until) poll_peers();
+	poll_for(500000);
 	CU_ASSERT_EQUAL(docs_version(doc), 5);
-	CU_ASSERT_EQUAL(gets(), 3);
-	end_all();
+	CU_ASSERT_EQUAL(total_requests(), 3);
+	stop_peers();
 }
 
-/* All ask for it at once and read nothing: two are sent it, the others when they have gone. */
+/* All peers request the document and read nothing: MAX_COPIES are served, the others after
+ * these are done. */
 static void copies_handed_on_at_once_are_bounded(void)
 {
 	uint64_t busy = met_get(MET_PEER_BUSY);
 	int64_t until;
-	int i, most;
-
-	begin_all(node.doc_table + 1);
-	docs_offer(doc, 7, large, LARGE);
-	for (i = 0; i < OTHERS; i++) other[i].wants = other[i].stalled = 1;
-	turns(500000);
-	most = copies();
-	CU_ASSERT_EQUAL(most, AT_ONCE);
-	if (most != AT_ONCE) printf("  %d copies at once\n", most);
+	int i, started;
+
+	start_peers(node.doc_table + 1);
+	docs_update(doc, 7, large, LARGE);
+	for (i = 0; i < PEERS; i++) fake_peer[i].requesting = fake_peer[i].stalled = 1;
+	poll_for(500000);
+	started = copies_started();
+	CU_ASSERT_EQUAL(started, MAX_COPIES);
+	if (started != MAX_COPIES) printf("  %d copies at once\n", started);
 	CU_ASSERT(met_get(MET_PEER_BUSY) > busy);
-	for (i = 0; i < OTHERS; i++) other[i].stalled = 0;
+	for (i = 0; i < PEERS; i++) fake_peer[i].stalled = 0;
 	until = clock_us() + 5000000;
-	while (have() < OTHERS && clock_us() < until) turn();
-	CU_ASSERT_EQUAL(have(), OTHERS);
-	end_all();
+	while (copies_received() < PEERS && clock_us() < until) poll_peers();
+	CU_ASSERT_EQUAL(copies_received(), PEERS);
+	stop_peers();
 }
 
-static int warned;
+static int warnings;
 
 static GLogWriterOutput count_warnings(GLogLevelFlags level, const GLogField *f, gsize n,
 				       gpointer user)
@@ -399,11 +403,12 @@
 	(void)f;
 	(void)n;
 	(void)user;
-	if (level & G_LOG_LEVEL_WARNING) __atomic_add_fetch(&warned, 1, __ATOMIC_SEQ_CST);
+	if (level & G_LOG_LEVEL_WARNING) __atomic_add_fetch(&warnings, 1, __ATOMIC_SEQ_CST);
 	return G_LOG_WRITER_HANDLED;
 }
 
-/* One reads nothing: what its link has no room for is lost, counted once each, and told of. */
+/* A peer that reads nothing: messages beyond its link's queue are dropped, each is counted, and
+ * one warning is logged. */
 static void what_is_dropped_is_counted_and_told(void)
 {
 	struct wire_msg m = {.type = WIRE_DOC, .u.doc = {.data = large, .len = LARGE}};
@@ -411,19 +416,19 @@
 	int64_t until;
 	int i;
 
-	begin_all(node.doc_table + 1);
-	other[0].stalled = 1;
-	for (i = 0; i < MANY; i++) CU_ASSERT_EQUAL(peer_send(other[0].self.id, &m), 0);
-	turns(500000);
+	start_peers(node.doc_table + 1);
+	fake_peer[0].stalled = 1;
+	for (i = 0; i < MANY; i++) CU_ASSERT_EQUAL(peer_send(fake_peer[0].self.id, &m), 0);
+	poll_for(500000);
 	dropped = met_get(MET_PEER_DROPPED) - dropped;
 	CU_ASSERT(dropped > 0);
-	CU_ASSERT_EQUAL(__atomic_load_n(&warned, __ATOMIC_SEQ_CST), 1);
-	other[0].stalled = 0;
+	CU_ASSERT_EQUAL(__atomic_load_n(&warnings, __ATOMIC_SEQ_CST), 1);
+	fake_peer[0].stalled = 0;
 	until = clock_us() + 5000000;
-	while (other[0].has + (int)dropped < MANY && clock_us() < until) turn();
-	turns(100000);
-	CU_ASSERT_EQUAL(other[0].has + (int)dropped, MANY);
-	end_all();
+	while (fake_peer[0].received + (int)dropped < MANY && clock_us() < until) poll_peers();
+	poll_for(100000);
+	CU_ASSERT_EQUAL(fake_peer[0].received + (int)dropped, MANY);
+	stop_peers();
 }
 
 static const struct check list[] = {
--- a/test/test_failure.c
+++ b/test/test_failure.c
@@ -1,13 +1,14 @@
-/* Engines that fail, answer wrongly or leave, under the streams of real processes. */
+/* Engines that fail, answer the wrong request or leave while they serve, with real processes.
+ */
 #include "fleet_check.h"
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
 
-#define WHOLE(n) "{\"model\":\"brew\",\"prompt\":\"p\",\"x_output_tokens\":" #n "}"
+#define UNSTREAMED(n) "{\"model\":\"brew\",\"prompt\":\"p\",\"x_output_tokens\":" #n "}"
 
-/* The running engine's index: the one whose journal has a generation that runs. */
-static int engine_of(struct fleet *f)
+/* The index of the engine whose journal has a running generation, or -1. */
+static int running_engine(struct fleet *f)
 {
 	json_object *o;
 	int i, found = -1;
@@ -28,7 +29,7 @@
 
 	fleet_fault(f->engine[0], "{\"cut_after\":20,\"cut\":1}");
 	s = stream_open(f->entry[0], KEY_MEMBERS, STREAM(80), NULL, 0);
-	whole_and_right(s, 80);
+	check_complete(s, 80);
 	CU_ASSERT(fleet_metric(f->admin[0], "saddlehead_retried_total{reason=\"resume\"}") >=
 		  1);
 	stream_free(s);
@@ -42,7 +43,7 @@
 
 	fleet_fault(f->engine[0], "{\"cross\":1}");
 	s = stream_open(f->entry[0], KEY_MEMBERS, STREAM(30), NULL, 0);
-	whole_and_right(s, 30);
+	check_complete(s, 30);
 	CU_ASSERT(fleet_metric(f->admin[0], "saddlehead_answers_dropped_total") >= 1);
 	CU_ASSERT(fleet_metric(f->admin[0],
 			       "saddlehead_retried_total{reason=\"crossed_answer\"}") >= 1);
@@ -57,7 +58,7 @@
 	char name[32];
 
 	CU_ASSERT(stream_wait(s, 10) >= 10);
-	snprintf(name, sizeof name, "engine%d", engine_of(f) + 1);
+	snprintf(name, sizeof name, "engine%d", running_engine(f) + 1);
 	fleet_signal(f, name, SIGKILL);
 	stream_join(s);
 	CU_ASSERT(s->error && !s->done && !s->mixed && !s->out_of_order);
@@ -65,37 +66,37 @@
 	stop(f);
 }
 
-struct whole {
+struct unstreamed_call {
 	struct fleet *f;
 	long status;
 	json_object *o;
 };
 
-static void *ask_whole(void *arg)
+static void *call_unstreamed(void *arg)
 {
-	struct whole *w = arg;
+	struct unstreamed_call *w = arg;
 
-	w->o = fleet_call("POST", w->f->entry[0], "/v1/completions", KEY_MEMBERS, WHOLE(300),
-			  &w->status);
+	w->o = fleet_call("POST", w->f->entry[0], "/v1/completions", KEY_MEMBERS,
+			  UNSTREAMED(300), &w->status);
 	return NULL;
 }
 
-static int runs_somewhere(void *f)
+static int is_running(void *f)
 {
-	return engine_of(f) >= 0;
+	return running_engine(f) >= 0;
 }
 
-/* Nobody has read a word of it yet: it starts again elsewhere. */
+/* The caller has received nothing of an unstreamed answer, so it restarts at another engine. */
 static void a_whole_answer_survives_its_engine(void)
 {
 	struct fleet *f = fleet(1, 2, 1, NULL);
-	struct whole w = {.f = f};
+	struct unstreamed_call w = {.f = f};
 	pthread_t t;
 	char name[32];
 
-	pthread_create(&t, NULL, ask_whole, &w);
-	CU_ASSERT_EQUAL(await(runs_somewhere, f), 0);
-	snprintf(name, sizeof name, "engine%d", engine_of(f) + 1);
+	pthread_create(&t, NULL, call_unstreamed, &w);
+	CU_ASSERT_EQUAL(await(is_running, f), 0);
+	snprintf(name, sizeof name, "engine%d", running_engine(f) + 1);
 	fleet_signal(f, name, SIGKILL);
 	pthread_join(t, NULL);
 	CU_ASSERT_EQUAL(w.status, 200);
@@ -161,11 +162,11 @@
 	before = generations(f, 0);
 	for (i = 0; i < 10; i++) {
 		s = stream_open(f->entry[i % 2], KEY_MEMBERS, STREAM(5), NULL, 0);
-		whole_and_right(s, 5);
+		check_complete(s, 5);
 		stream_free(s);
 	}
 	CU_ASSERT_EQUAL(generations(f, 0), before);
-	whole_and_right(running, 200);
+	check_complete(running, 200);
 	stream_free(running);
 	stop(f);
 }
--- a/test/test_path.c
+++ b/test/test_path.c
@@ -343,7 +343,7 @@
 
 static int ended(void *process)
 {
-	return fleet_ended(f, process);
+	return fleet_exited(f, process);
 }
 
 /* Last, as it takes a daemon away: streams of the one that stops come whole, and where drops
--- a/test/test_settings.c
+++ b/test/test_settings.c
@@ -1,4 +1,5 @@
-/* Settings and the operators' table: what is wrong is named, with its place. */
+/* Parsing of the settings and the operators' table: errors name the line, or the row and field.
+ */
 #include "cfg.h"
 #include "check.h"
 #include "tbl.h"
@@ -13,11 +14,11 @@
 	"\t/* peers */\n\t\"peer\": {\"key\": \"k\",\n\t\t\"heartbeat_ms\": %s},\n"
 	"\t\"platform\": {\"address\": \"127.0.0.1:1\", \"data_centres\": [\"x\"]}%s\n}\n";
 
-static int parse(const char *beat, const char *more, struct cfg *c, struct err *e)
+static int parse(const char *heartbeat, const char *more, struct cfg *c, struct err *e)
 {
 	char text[1024];
 
-	snprintf(text, sizeof text, good, beat, more);
+	snprintf(text, sizeof text, good, heartbeat, more);
 	return cfg_parse("f.json", text, c, e);
 }
 
@@ -34,28 +35,30 @@
 	CU_ASSERT_STRING_EQUAL(c.log_level, "info");
 }
 
-static void refused(const char *beat, const char *more, const char *what)
+static void check_settings_error(const char *heartbeat, const char *more, const char *expected)
 {
 	struct cfg c;
 	struct err e;
 
-	CU_ASSERT(parse(beat, more, &c, &e) < 0);
-	CU_ASSERT_PTR_NOT_NULL(strstr(e.text, what));
-	if (!strstr(e.text, what)) printf("  got: %s\n", e.text);
+	CU_ASSERT(parse(heartbeat, more, &c, &e) < 0);
+	CU_ASSERT_PTR_NOT_NULL(strstr(e.text, expected));
+	if (!strstr(e.text, expected)) printf("  got: %s\n", e.text);
 }
 
 static void settings_errors_name_line_and_reason(void)
 {
-	refused("5", "", "f.json:7: \"peer.heartbeat_ms\" is out of range");
-	refused("\"fast\"", "", "f.json:7: \"peer.heartbeat_ms\" must be a whole number");
-	refused("250", ",\n\"engin\": {}", "f.json:9: \"engin\" is not a setting");
-	refused("250", ",\n\"engine\": {\n\"connnect_ms\": 1}",
-		"f.json:10: \"engine.connnect_ms\" is not");
-	refused("250", ",\n\"engine\": 3", "f.json:9: \"engine\" must be an object");
-	refused("250", ",\n\"log\": {\"level\": 3}",
-		"f.json:9: \"log.level\" must be a string");
-	refused("250", ",\n\"x\": }", "f.json:9: not JSON");
-	refused("}", "", "not JSON");
+	check_settings_error("5", "", "f.json:7: \"peer.heartbeat_ms\" is out of range");
+	check_settings_error("\"fast\"", "",
+			     "f.json:7: \"peer.heartbeat_ms\" must be a whole number");
+	check_settings_error("250", ",\n\"engin\": {}", "f.json:9: \"engin\" is not a setting");
+	check_settings_error("250", ",\n\"engine\": {\n\"connnect_ms\": 1}",
+			     "f.json:10: \"engine.connnect_ms\" is not");
+	check_settings_error("250", ",\n\"engine\": 3",
+			     "f.json:9: \"engine\" must be an object");
+	check_settings_error("250", ",\n\"log\": {\"level\": 3}",
+			     "f.json:9: \"log.level\" must be a string");
+	check_settings_error("250", ",\n\"x\": }", "f.json:9: not JSON");
+	check_settings_error("}", "", "not JSON");
 }
 
 static void settings_that_are_missing_are_named(void)
@@ -85,38 +88,39 @@
 	"{\"services\":{\"m\":{\"kind\":\"model\"}},\"groups\":{\"g\":{\"key_sha256\":\"" KEY \
 	"\"" row "}}}"
 
-static void table_refused(const char *text, const char *what)
+static void check_table_error(const char *text, const char *expected)
 {
 	struct err e = {0};
 	struct tbl *t = tbl_parse(text, 1, &e);
 
 	CU_ASSERT_PTR_NULL(t);
-	CU_ASSERT_PTR_NOT_NULL(strstr(e.text, what));
-	if (!strstr(e.text, what)) printf("  got: %s\n", e.text);
+	CU_ASSERT_PTR_NOT_NULL(strstr(e.text, expected));
+	if (!strstr(e.text, expected)) printf("  got: %s\n", e.text);
 	tbl_unref(t);
 }
 
 static void table_errors_name_row_and_field(void)
 {
-	table_refused(TABLE(",\"weight\":0"), "group \"g\": field \"weight\" must be above 0");
-	table_refused(TABLE(",\"weight\":\"x\""),
-		      "group \"g\": field \"weight\" must be a number");
-	table_refused(TABLE(",\"wait\":1"), "group \"g\": field \"wait\" is not known");
-	table_refused(TABLE(",\"ceilings\":{\"running\":-1}"),
-		      "field \"running\" is out of range");
-	table_refused(TABLE(",\"ceilings\":{\"run\":1}"), "field \"run\" is not known");
-	table_refused(TABLE(",\"ceilings\":{\"running\":1},\"floors\":{\"running\":2}"),
-		      "above its ceiling");
-	table_refused(TABLE(",\"services\":[\"n\"]"), "names a service without a row");
-	table_refused(TABLE(",\"class\":\"slow\""), "field \"class\" must be");
-	table_refused("{\"groups\":{\"g\":{}}}", "field \"key_sha256\" is missing");
-	table_refused("{\"groups\":{\"g g\":{}}}", "field \"name\"");
-	table_refused("{\"groups\":{\"a\":{\"key_sha256\":\"" KEY
-		      "\"},\"b\":{\"key_sha256\":\"" KEY "\"}}}",
-		      "is that of another group");
-	table_refused("{\"grups\":{}}", "\"grups\" is not known");
-	table_refused("[]", "must be an object");
-	table_refused("{", "not JSON");
+	check_table_error(TABLE(",\"weight\":0"),
+			  "group \"g\": field \"weight\" must be above 0");
+	check_table_error(TABLE(",\"weight\":\"x\""),
+			  "group \"g\": field \"weight\" must be a number");
+	check_table_error(TABLE(",\"wait\":1"), "group \"g\": field \"wait\" is not known");
+	check_table_error(TABLE(",\"ceilings\":{\"running\":-1}"),
+			  "field \"running\" is out of range");
+	check_table_error(TABLE(",\"ceilings\":{\"run\":1}"), "field \"run\" is not known");
+	check_table_error(TABLE(",\"ceilings\":{\"running\":1},\"floors\":{\"running\":2}"),
+			  "above its ceiling");
+	check_table_error(TABLE(",\"services\":[\"n\"]"), "names a service without a row");
+	check_table_error(TABLE(",\"class\":\"slow\""), "field \"class\" must be");
+	check_table_error("{\"groups\":{\"g\":{}}}", "field \"key_sha256\" is missing");
+	check_table_error("{\"groups\":{\"g g\":{}}}", "field \"name\"");
+	check_table_error("{\"groups\":{\"a\":{\"key_sha256\":\"" KEY
+			  "\"},\"b\":{\"key_sha256\":\"" KEY "\"}}}",
+			  "is that of another group");
+	check_table_error("{\"grups\":{}}", "\"grups\" is not known");
+	check_table_error("[]", "must be an object");
+	check_table_error("{", "not JSON");
 }
 
 static void table_finds_groups_by_key(void)
--- a/test/test_table.c
+++ b/test/test_table.c
@@ -1,7 +1,7 @@
-/* Edits of the table between real processes, while the platform fails. */
+/* Edits of the operators' table with real processes, while the platform's store fails. */
 #include "fleet_check.h"
 
-/* Accepted, and at once the platform is gone: the peers carry it on. */
+/* The store goes down right after an edit is accepted: peers distribute the new table. */
 static void an_accepted_edit_spreads_without_the_platform(void)
 {
 	struct fleet *f = fleet(3, 1, 1, NULL);
@@ -15,7 +15,7 @@
 	CU_ASSERT_EQUAL(s, 200);
 	v.want = json_int_at(o, "version");
 	json_object_put(o);
-	CU_ASSERT_EQUAL(await(all_at, &v), 0);
+	CU_ASSERT_EQUAL(await(all_have_version, &v), 0);
 	stop(f);
 }
 
@@ -32,7 +32,7 @@
 	CU_ASSERT_EQUAL(s, 200);
 	v.want = json_int_at(o, "version");
 	json_object_put(o);
-	CU_ASSERT_EQUAL(await(all_at, &v), 0);
+	CU_ASSERT_EQUAL(await(all_have_version, &v), 0);
 	stop(f);
 }
 
@@ -48,24 +48,25 @@
 	return w;
 }
 
-struct calls {
+struct platform_calls {
 	const char *admin;
 	double until;
 };
 
-static int calls_made(void *arg)
+static int calls_reached(void *arg)
 {
-	struct calls *c = arg;
+	struct platform_calls *c = arg;
 
 	return fleet_metric(c->admin, "saddlehead_platform_calls_total") >= c->until;
 }
 
-/* Until the daemon has asked the platform n times more. */
-static void await_calls(const char *admin, int n)
+/* Waits until the daemon has made n more calls to the platform. */
+static void wait_for_calls(const char *admin, int n)
 {
-	struct calls c = {admin, fleet_metric(admin, "saddlehead_platform_calls_total") + n};
+	struct platform_calls c = {admin,
+				   fleet_metric(admin, "saddlehead_platform_calls_total") + n};
 
-	CU_ASSERT_EQUAL(await(calls_made, &c), 0);
+	CU_ASSERT_EQUAL(await(calls_reached, &c), 0);
 }
 
 static void the_table_never_goes_back(void)
@@ -86,19 +87,19 @@
 		       "{\"weight\":9}", &s);
 	v.want = json_int_at(o, "version");
 	json_object_put(o);
-	CU_ASSERT_EQUAL(await(all_at, &v), 0);
-	/* Old values from now on; an outage makes every watch ask again. */
+	CU_ASSERT_EQUAL(await(all_have_version, &v), 0);
+	/* The store returns old values from now on; the outage makes every watch reconnect. */
 	changes = fleet_metric(f->admin[0], "saddlehead_table_changes_total");
 	fleet_fault(f->kv, "{\"stale_reads\":1,\"down\":1}");
-	await_calls(f->admin[0], 6);
+	wait_for_calls(f->admin[0], 6);
 	fleet_fault(f->kv, "{\"down\":0}");
-	await_calls(f->admin[0], 18);
-	await_calls(f->admin[1], 6);
-	/* Not even for a moment, until a peer puts it right. */
+	wait_for_calls(f->admin[0], 18);
+	wait_for_calls(f->admin[1], 6);
+	/* No daemon applied an old table, not even until a peer corrected it. */
 	CU_ASSERT_EQUAL(fleet_metric(f->admin[0], "saddlehead_table_changes_total"), changes);
 	CU_ASSERT_EQUAL(weight_of(f, 0), 9);
 	CU_ASSERT_EQUAL(weight_of(f, 1), 9);
-	CU_ASSERT_EQUAL(await(all_at, &v), 0);
+	CU_ASSERT_EQUAL(await(all_have_version, &v), 0);
 	stop(f);
 }
 
