--- a/src/internal/table_edit.h
+++ b/src/internal/table_edit.h
@@ -1,5 +1,4 @@
-/* Edits of the operators' table: read, modify, validate, then compare-and-swap on the version.
- */
+/* Edits of the operators' table: read, modify, validate, compare-and-swap on the version. */
 #ifndef SH_TABLE_EDIT_H
 #define SH_TABLE_EDIT_H
 #include "err.h"
@@ -22,7 +21,8 @@
  * -ENOENT: no such group.
  * -ECANCELED: the table is at another version than if_match, namely *version, or it changed
  * during every try.
- * -EBUSY, -EIO: no answer from the platform. After -EIO the edit may have been accepted.
+ * -EBUSY: not written, since the platform did not answer or its call budget is used up.
+ * -EIO: the platform did not answer the write; the edit may have been accepted.
  */
 int table_edit(const struct edit *ed, uint64_t *version, struct err *e);
 #endif
--- a/src/node/front.c
+++ b/src/node/front.c
@@ -8,9 +8,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define REFUSAL_THREADS                                                       \
-	16 /* beyond limits.requests, to refuse excess requests without delay \
-	    */
+#define REFUSAL_THREADS 16 /* beyond limits.requests, to refuse excess ones at once */
 #define WRITE_TIMEOUT_MS "20000"
 
 static struct mg_context *ctx;
--- a/src/node/platform.c
+++ b/src/node/platform.c
@@ -27,7 +27,7 @@
 
 struct watch {
 	int doc;
-	atomic_int busy;
+	atomic_int in_flight;
 	int64_t next_start_us, backoff_us;
 	GString *body;
 	uint64_t version;
@@ -39,7 +39,7 @@
 	struct watch watch[WIRE_DOCS_MAX];
 	int n, key_created;
 	int64_t started_us;
-} pl;
+} platform;
 
 static int on_data(struct mux_xfer *x, const char *p, size_t n)
 {
@@ -91,7 +91,7 @@
 	} else {
 		back_off(w);
 	}
-	w->busy = 0;
+	w->in_flight = 0;
 }
 
 static void watch_start(struct watch *w, int wait)
@@ -101,14 +101,14 @@
 	if (!x) return;
 	g_string_truncate(w->body, 0);
 	w->version = 0;
-	w->busy = 1;
+	w->in_flight = 1;
 	x->user = w;
 	x->on_data = on_data;
 	x->on_header = on_header;
 	x->on_done = on_done;
 	mux_xfer_unref(w->xfer);
 	w->xfer = x;
-	if (mux_submit(node.platform, x)) w->busy = 0;
+	if (mux_submit(node.platform, x)) w->in_flight = 0;
 }
 
 /* Whether this instance watches the document: it is among the WATCHERS_PER_DC live instances of
@@ -136,9 +136,10 @@
 	struct err e;
 	int i;
 
-	if (docs_version(node.doc_event_key) || pl.key_created) return;
+	if (docs_version(node.doc_event_key) || platform.key_created) return;
 	for (i = 0; i < KEY_BYTES / 4; i++) g_string_append_printf(hex, "%08x", g_random_int());
-	pl.key_created = kv_put(DOC_EVENT_KEY, hex->str, hex->len, 0, &version, &e) != -EIO;
+	platform.key_created =
+		kv_put(DOC_EVENT_KEY, hex->str, hex->len, 0, &version, &e) != -EIO;
 	g_string_free(hex, TRUE);
 }
 
@@ -146,7 +147,7 @@
  * document: for SEED_WAIT_US it starts no watches while it has no other member. */
 static int awaiting_seeds(const struct view *v, int64_t now)
 {
-	return v->nmembers == 1 && node.cfg.seeds.n && now - pl.started_us < SEED_WAIT_US;
+	return v->nmembers == 1 && node.cfg.seeds.n && now - platform.started_us < SEED_WAIT_US;
 }
 
 static void start_watches(void)
@@ -156,10 +157,10 @@
 	int i, watcher;
 
 	if (!v) return;
-	for (i = 0; i < pl.n && !awaiting_seeds(v, now); i++) {
-		struct watch *w = &pl.watch[i];
+	for (i = 0; i < platform.n && !awaiting_seeds(v, now); i++) {
+		struct watch *w = &platform.watch[i];
 
-		if (w->busy || now < w->next_start_us) continue;
+		if (w->in_flight || now < w->next_start_us) continue;
 		watcher = is_watcher(v, w->doc);
 		if (!watcher && docs_version(w->doc)) continue;
 		watch_start(w, watcher);
@@ -189,21 +190,21 @@
 {
 	int i;
 
-	pl.n = docs_count();
-	pl.started_us = clock_us();
-	for (i = 0; i < pl.n; i++) {
-		pl.watch[i] = (struct watch){.doc = i, .backoff_us = BACKOFF_MIN_US};
-		pl.watch[i].body = g_string_new(NULL);
+	platform.n = docs_count();
+	platform.started_us = clock_us();
+	for (i = 0; i < platform.n; i++) {
+		platform.watch[i] = (struct watch){.doc = i, .backoff_us = BACKOFF_MIN_US};
+		platform.watch[i].body = g_string_new(NULL);
 	}
-	pthread_create(&pl.thread, NULL, run, NULL);
-	pthread_setname_np(pl.thread, "platform");
+	pthread_create(&platform.thread, NULL, run, NULL);
+	pthread_setname_np(platform.thread, "platform");
 }
 
 void platform_stop(void)
 {
 	int i;
 
-	pthread_join(pl.thread, NULL);
-	for (i = 0; i < pl.n; i++)
-		if (pl.watch[i].xfer) mux_cancel(node.platform, pl.watch[i].xfer);
+	pthread_join(platform.thread, NULL);
+	for (i = 0; i < platform.n; i++)
+		if (platform.watch[i].xfer) mux_cancel(node.platform, platform.watch[i].xfer);
 }
--- a/test/test_docs.c
+++ b/test/test_docs.c
@@ -316,7 +316,8 @@
 	for (i = 0; i < PEERS; i++) stop_peer(&fake_peer[i]);
 }
 
-/* Waits for a request beyond the first before; returns the peer that received it, or NULL. */
+/* Waits until the peers have received more than before requests; returns the peer that received
+ * the new one, or NULL after within_us. */
 static struct fake_peer *wait_for_request(int before, int64_t within_us)
 {
 	int64_t until = clock_us() + within_us;
--- a/test/test_failure.c
+++ b/test/test_failure.c
@@ -1,5 +1,4 @@
-/* Engines that fail, answer the wrong request or leave while they serve, with real processes.
- */
+/* Engines that fail, answer the wrong request or leave during streams, with real processes. */
 #include "fleet_check.h"
 #include <signal.h>
 #include <stdio.h>
--- a/test/test_settings.c
+++ b/test/test_settings.c
@@ -1,5 +1,4 @@
-/* Parsing of the settings and the operators' table: errors name the line, or the row and field.
- */
+/* Parsing of settings and the operators' table: errors name the line, or row and field. */
 #include "cfg.h"
 #include "check.h"
 #include "tbl.h"
