--- a/test/test_path.c
+++ b/test/test_path.c
@@ -343,7 +343,7 @@
 
 static int ended(void *process)
 {
-	return fleet_ended(f, process);
+	return fleet_exited(f, process);
 }
 
 /* Streams through a draining daemon complete, and /v1/where no longer lists it. Runs last, as
