--- a/src/node/admin_table.c
+++ b/src/node/admin_table.c
@@ -96,8 +96,7 @@
 	int rc;
 
 	if (if_match(c, &ed.if_match))
-		return http_refuse(c, REF_BAD_REQUEST, STEP_PARSE, 0,
-				   "If-Match is no version");
+		return http_refuse(c, REF_BAD_REQUEST, STEP_PARSE, 0, "If-Match is no version");
 	if (type != EDIT_GROUP_DELETE && !(ed.value = read_value(c))) return 400;
 	rc = table_edit(&ed, &version, &e);
 	json_object_put(ed.value);
