--- a/bench/bench_entry.c
+++ b/bench/bench_entry.c
@@ -39,7 +39,8 @@
 	int i, k, good = 0;
 
 	for (i = 0; i < CALLS / CALLS_AT_ONCE; i++) {
-		for (k = 0; k < CALLS_AT_ONCE; k++) c[k] = pw_ask(e, "POST", "/unsafe/", 5000);
+		for (k = 0; k < CALLS_AT_ONCE; k++)
+			c[k] = pw_request(e, "POST", "/unsafe/", 5000);
 		for (k = 0; k < CALLS_AT_ONCE; k++) {
 			pw_call_wait(c[k], 5000);
 			good += c[k]->status == 200;
@@ -57,12 +58,12 @@
 	double before = cpu_s(e), rss = rss_kb(e);
 	int i, whole = 0;
 
-	for (i = 0; i < STREAMS; i++) c[i] = pw_ask(e, "POST", "/chat/", 60000);
+	for (i = 0; i < STREAMS; i++) c[i] = pw_request(e, "POST", "/chat/", 60000);
 	pw_run(1000);
 	printf("entry_kb_per_stream %.2f\n", (rss_kb(e) - rss) / STREAMS);
 	for (i = 0; i < STREAMS; i++) {
 		pw_call_wait(c[i], 60000);
-		whole += pw_stream_whole(c[i], STREAM_EVENTS);
+		whole += pw_stream_complete(c[i], STREAM_EVENTS);
 	}
 	printf("entry_streams_whole %d\n", whole);
 	printf("entry_us_per_event %.2f\n",
--- a/test/pw.c
+++ b/test/pw.c
@@ -1,11 +1,11 @@
-/* The small platform's loop, its addresses, and its beginning and end in each test. */
+/* The test platform's event loop and addresses; set-up and clean-up of each test. */
 #include "pw.h"
 #include "hostport.h"
 #include <signal.h>
 #include <stdlib.h>
 #include <unistd.h>
 
-#define LOOK_US 2000 /* how often a condition is looked at */
+#define POLL_US 2000 /* interval between checks of a condition */
 
 const struct hs_limits pw_limits = {
 	.head_max = 65536, .body_max = 1 << 20, .head_us = 5000000, .idle_us = 60000000};
@@ -16,14 +16,14 @@
 static int (*condition)(void *);
 static void *condition_arg;
 static int64_t until_us;
-static struct ev_timer look;
+static struct ev_timer poll_timer;
 
-static void on_look(struct ev_timer *t)
+static void on_poll(struct ev_timer *t)
 {
 	if ((condition && condition(condition_arg)) || ev_now() >= until_us)
 		stop = 1;
 	else
-		ev_in(t, LOOK_US);
+		ev_in(t, POLL_US);
 }
 
 int pw_until(int (*f)(void *), void *arg, int ms)
@@ -32,8 +32,8 @@
 	condition_arg = arg;
 	until_us = ev_now() + (int64_t)ms * 1000;
 	stop = 0;
-	look.fire = on_look;
-	ev_in(&look, 0);
+	poll_timer.fire = on_poll;
+	ev_in(&poll_timer, 0);
 	ev_run(&stop);
 	return f ? f(arg) : 1;
 }
@@ -75,7 +75,7 @@
 	hostport_parse(text, at);
 }
 
-/* Each test program has a loopback network of its own. */
+/* Each test program uses its own loopback network, chosen by its process id. */
 static void init_once(void)
 {
 	if (net[0]) return;
@@ -95,7 +95,7 @@
 				   .tokens = 34000,
 				   .link_mbps = 19000,
 				   .attempts = 2,
-				   .aim_ms = 500,
+				   .target_latency_ms = 500,
 				   .keys = "[\"k1\"]",
 				   .safe_service = "app"};
 	pw_conf_write();
@@ -106,7 +106,7 @@
 	pw_entries_end();
 	pw_calls_end();
 	pw_crash_end();
-	pw_run(20); /* what was given back is freed between rounds of the loop */
+	pw_run(20); /* ev_free_later frees between rounds of the loop */
 	pw_servers_end();
 	pw_store_clear();
 }
--- a/test/pw.h
+++ b/test/pw.h
@@ -1,7 +1,7 @@
 /*
- * A small platform for tests: its store, its backend servers, its operator and its callers on
- * one event loop in the test's own process; entries run beside it as real processes, each at a
- * loopback address of its own. Faults are switched on by the test, never by chance.
+ * A small platform for tests. The store, the backend servers, the operator and the callers run
+ * on one event loop in the test process; entries run as real processes, each at its own
+ * loopback address. Faults occur only where the test switches them on, never at random.
  */
 #ifndef PW_H
 #define PW_H
@@ -13,7 +13,7 @@
 #include <sys/types.h>
 
 /* ---- pw.c: the loop and the addresses ---- */
-/* Ports: any will do, each address is a test's own. */
+/* Ports. They can't collide: each test program uses its own loopback addresses. */
 #define PW_FRONT 7001
 #define PW_READY 7002
 #define PW_DIRECTORY 7003
@@ -23,22 +23,23 @@
 #define PW_SERVER 7100
 #define PW_SECOND_STORE "platform.address=%s:7006\n" /* with pw_second_ip() */
 
-/* Hosts of this program's own network; entries have those from 1. */
+/* Host parts of addresses in this program's loopback network; entries count from 1. */
 #define PW_STORE_HOST 200
 #define PW_SERVER_HOST 201
-#define PW_SECOND_HOST 202 /* a second address of the store */
+#define PW_SECOND_HOST 202 /* second address of the store */
 
-/* Each test begins with it and ends with pw_end. */
+/* Called at the start of each test; pw_end at its end. */
 void pw_init(void);
-/* Ends what still runs. */
+/* Ends all entries, calls and servers, and clears the store. */
 void pw_end(void);
+/* Runs the event loop for ms. */
 void pw_run(int ms);
-/* Runs until f(arg) or ms are over; what f said last. */
+/* Runs the loop until f(arg) is nonzero or ms have passed; returns the last value of f. */
 int pw_until(int (*f)(void *), void *arg, int ms);
-/* The address of a host, until the next call. */
+/* The address of a host; valid until the next call. */
 const char *pw_ip(int host);
 void pw_address_of(const char *ip, int port, struct sockaddr_in *at);
-extern const struct hs_limits pw_limits; /* of the platform's own servers: never the bound */
+extern const struct hs_limits pw_limits; /* of the platform's servers: too wide to be reached */
 
 /* ---- pw_entry.c ---- */
 struct pw_entry {
@@ -46,27 +47,27 @@
 	char ip[32], settings[64], log[64];
 };
 
-/* The program that entries run from now on, below the folder of the build. */
+/* The program that new entries run, relative to the build folder. */
 extern const char *pw_entry_program;
-/* More settings lines for entries that start from now on; NULL: none. */
+/* Additional settings lines for entries started from now on; NULL: none. */
 void pw_settings(const char *lines);
 struct pw_entry *pw_entry_start(void);
-/* Starts one and waits until it is ready. */
+/* Starts an entry and waits until it is ready. */
 struct pw_entry *pw_entry_ready(void);
-/* Waits for three seconds at most; 1 once it is ready. */
+/* Waits for at most three seconds; returns 1 if the entry is ready. */
 int pw_entry_until_ready(struct pw_entry *e);
-/* Starts one that has ended, with the settings it had but for the fleet's first start. */
-void pw_entry_again(struct pw_entry *e);
-/* 1 once it has ended by now, with its status as waitpid tells it. */
+/* Restarts an entry that has ended, with its settings and firstStart=false. */
+void pw_entry_restart(struct pw_entry *e);
+/* Returns 1 if the entry has ended, with its status as from waitpid. */
 int pw_entry_ended(struct pw_entry *e, int *status);
 void pw_entry_kill(struct pw_entry *e, int sig);
-/* The exit status, once it ended within ms; -1: it still runs. */
+/* Waits up to ms for the entry to end; returns its wait status, -1 if it still runs. */
 int pw_entry_wait(struct pw_entry *e, int ms);
-/* Whether its log holds the text; the log is written with a delay of some 200 ms. */
+/* Whether the entry's log contains text; the log is written with a delay of about 200 ms. */
 int pw_log_has(struct pw_entry *e, const char *text);
-/* The value of a metric, -1 when there is none of that name (labels included). */
+/* The value of the metric with this name and labels, or -1 if there is none. */
 double pw_metric(struct pw_entry *e, const char *name);
-/* For pw.c: once in a program, and around each test. */
+/* For pw.c: init once in a program, begin and end around each test. */
 void pw_entries_init(void);
 void pw_entries_begin(void);
 void pw_entries_end(void);
@@ -74,61 +75,61 @@
 /* ---- pw_store.c ---- */
 enum pw_store_mode {
 	PW_STORE_OK,
-	PW_STORE_DOWN,
-	PW_STORE_BUSY,
-	PW_STORE_LOST,
-	PW_STORE_SILENT
+	PW_STORE_DOWN,  /* resets each request */
+	PW_STORE_BUSY,  /* answers 503 */
+	PW_STORE_LOST,  /* carries out the request, resets instead of answering */
+	PW_STORE_SILENT /* never answers */
 };
 struct pw_store {
 	enum pw_store_mode mode;
-	enum pw_store_mode second_mode; /* of its second address, which an entry may be given */
-	int watches_silent;             /* changes are not told to those who watch */
+	enum pw_store_mode second_mode; /* at the second address */
+	int watches_silent;             /* watches report no changes */
 	int calls, watches, commits, listings;
-	int slow_answers; /* that were begun */
-	int slow_bytes;   /* of an answer over 64 KB are sent each tenth of a second; 0: at once
-			   */
-	int page;         /* items of an answer to a listing, in the order of keys; 0: all */
+	int slow_answers; /* answers that were sent in parts */
+	int slow_bytes;   /* sent per 100 ms of an answer over 64 KB; 0: all at once */
+	int page;         /* items in one answer to a listing, sorted by key; 0: all */
 	uint64_t revision;
 };
 extern struct pw_store pw_store;
 void pw_store_start(const char *ip);
-/* Empties it; revisions go on rising. */
+/* Resets the faults and counters and removes all keys; revisions keep increasing. */
 void pw_store_clear(void);
 void pw_store_put(const char *key, const char *value);
 void pw_store_remove(const char *key);
-/* Forgets its history; watches are cut and told so when they come again. */
+/* Discards the history of changes: open watches are reset, and a watch that continues from an
+ * older revision gets 410. */
 void pw_store_compact(void);
-/* Breaks the calls that wait at its second address. */
+/* Resets the watches that wait at the second address. */
 void pw_store_cut_second(void);
-/* What a key holds, or NULL. Free with g_free. */
+/* The value of a key, or NULL. Free with g_free. */
 char *pw_store_value(const char *key);
-/* Keys that begin so and stand now. */
+/* Number of existing keys with this prefix. */
 int pw_store_keys(const char *prefix);
-/* Calls that wait for changes now. */
+/* Number of watches that wait for changes now. */
 int pw_store_waiting(void);
 
 /* ---- pw_query.c ---- */
-/* A query argument of a request's target, decoded into out; 0 or -ENOENT. */
+/* Decodes a query argument of a request's target into out; returns 0 or -ENOENT. */
 int pw_query(const char *target, const char *name, char *out, size_t max);
 
 /* ---- pw_server.c: backend servers ---- */
 enum pw_mode {
 	PW_OK,
-	PW_FULL,        /* 503, not run */
-	PW_STRANGER,    /* 421: another incarnation */
-	PW_HANG,        /* runs, never answers */
-	PW_RESET,       /* runs, resets before an answer */
+	PW_FULL,              /* 503, not run */
+	PW_OTHER_INCARNATION, /* 421: another incarnation is at the address */
+	PW_HANG,              /* runs, never answers */
+	PW_RESET,             /* runs, resets before an answer */
 	PW_BREAK,       /* resets in the middle of an event or body, after break_after events */
 	PW_WRONG_ID,    /* answers another request */
 	PW_UNSIGNED,    /* a success without a signature */
 	PW_ENCODED,     /* a success in an encoding */
-	PW_FALSE_503,   /* 503 that does not say the request has not run */
+	PW_FALSE_503,   /* 503 without the field for a request that was not run */
 	PW_ERROR,       /* 500, signed */
-	PW_EXTRA,       /* a second answer behind the first */
-	PW_GARBAGE,     /* bytes that are no HTTP */
-	PW_UNTIL_CLOSE, /* no length: the answer ends with the connection */
-	PW_CUT_CLOSE,   /* no length, reset on the way */
-	PW_SILENT,      /* a stream that stops without a word after break_after events */
+	PW_EXTRA,       /* a second answer after the first */
+	PW_GARBAGE,     /* bytes that are not HTTP */
+	PW_UNTIL_CLOSE, /* no length: the answer ends when the connection closes */
+	PW_CUT_CLOSE,   /* no length, reset in the middle */
+	PW_SILENT, /* a stream that sends nothing more after break_after events, left open */
 };
 
 struct pw_run {
@@ -143,97 +144,100 @@
 
 struct pw_server {
 	char id[64], service[64], ip[32], address[48];
-	char zone[16];    /* "a" at first, where entries are, too */
-	char version[16]; /* "v1" at first */
-	int64_t born_ms;  /* of this life; 0: not told */
-	int cold_ms;      /* that its entry tells */
+	char zone[16];          /* "a" by default, the entries' zone */
+	char version[16];       /* "v1" by default */
+	int64_t incarnation_ms; /* start time of this incarnation, Unix ms; 0: unstated */
+	int cold_ms;            /* remaining cold start in its list entry */
 	struct hs_listener listener;
-	int64_t leaving_us; /* when its entry first said that it leaves, or went */
+	int64_t leaving_us; /* when its list entry was first draining, or removed */
 	enum pw_mode mode;
 	int engine;
 	int work_ms, event_ms, events, break_after;
 	int event_bytes; /* of padding in each event */
-	int move_status,
-		copy_status; /* what orders and copies are answered; 0: as they should */
-	int copy_refusals;   /* so many copies are turned away first */
-	int copy_ms; /* from when a run goes on from a copy until its first event is read */
-	int move_ms; /* until an order is carried out */
-	int moving, moving_most; /* orders under way at once: now, and at most so far */
-	int leaves;              /* its own report says so */
-	int ailing;              /* its health check says so */
-	int checks;              /* health checks so far */
-	int reports;             /* asked for so far */
+	/* Answer to move orders, 0: the correct one; nonzero: runs from a copy are refused. */
+	int move_status, copy_status;
+	int copy_refusals; /* the first so many copies are refused */
+	int copy_ms; /* from when a run continues from a copy until its first event is sent */
+	int move_ms; /* until a move order is carried out */
+	int moving, max_moving; /* concurrent move orders: now, and the maximum so far */
+	int draining;           /* its report states draining */
+	int unhealthy;          /* its health check fails */
+	int checks;             /* health checks received */
+	int reports;            /* reports requested */
 	int arrivals, moves, copies, drops;
-	const char *says;   /* head lines of each of its answers, each ended by CRLF; or NULL */
-	GArray *arrived_us; /* when each request came, of whatever kind: int64_t */
-	char last_raw[1024]; /* the head that came last */
+	const char *extra_fields; /* additional header lines of each answer, each ended by CRLF;
+				     or NULL */
+	GArray *arrived_us;       /* arrival time of each request of any kind: int64_t */
+	char last_raw[1024];      /* the last request head */
 };
 extern GPtrArray *pw_runs; /* of struct pw_run */
-/* One that is not listed yet; its address may be set to that of something before it. */
+/* Creates a server that is not listed; its address may be changed to that of a proxy. */
 struct pw_server *pw_server_new(const char *service, int engine);
+/* Creates a server and lists it as ready. */
 struct pw_server *pw_server_add(const char *service, int engine);
-/* Begins a test: n listed servers of service app, and an entry that is ready. */
+/* Starts a test with n listed servers of service app and an entry that is ready. */
 struct pw_entry *pw_init_with(struct pw_server **s, int n);
 const char *pw_server_ip(void);
 const char *pw_second_ip(void);
-/* Most requests of whatever kind that came to it within ms, from a moment on. */
-int pw_server_most(const struct pw_server *s, int64_t from_us, int ms);
-/* Answers with what it says of itself beside the fields. */
+/* The most requests of any kind that arrived within any period of ms since from_us. */
+int pw_server_max_arrivals(const struct pw_server *s, int64_t from_us, int ms);
+/* Answers with the server's additional header lines after fields. */
 void pw_server_answer(struct pw_server *s, struct hs *h, int status, const char *fields,
 		      const char *body);
 void pw_servers_end(void);
-/* The same in a data centre. */
+/* pw_server_add in a zone. */
 struct pw_server *pw_server_add_in(const char *service, int engine, const char *zone);
-/* Writes its entry; state "ready" or "draining". */
+/* Writes its list entry; state "ready" or "draining". */
 void pw_server_list(struct pw_server *s, const char *state);
 void pw_server_unlist(struct pw_server *s);
-/* It takes a new id, which is not listed yet. */
+/* Gives the server a new id, which is not listed yet. */
 void pw_server_rename(struct pw_server *s);
-/* Takes connections, at first or again after it died. */
+/* Accepts connections, also after pw_server_crash. */
 void pw_server_listen(struct pw_server *s);
-/* Breaks all its connections and listens no more. */
-void pw_server_die(struct pw_server *s);
-/* It takes no more connections, and says nothing to those who try: opening packets get lost.
+/* Resets all its connections and stops listening. */
+void pw_server_crash(struct pw_server *s);
+/* Connection attempts get no reply from now on: the accept queue is full and SYNs are dropped.
  * Close the returned descriptor at the end. */
-int pw_server_deaf(struct pw_server *s);
+int pw_server_unreachable(struct pw_server *s);
 
-/* Requests that reached a server after they had reached one, but those that go on from a copy.
- */
-int pw_repeats(void);
+/* Requests that reached a server though they had reached one before, without those that
+ * continue from a copy. */
+int pw_retries(void);
 
-/* ---- pw_crash.c: a request that ends whatever runs it ---- */
+/* ---- pw_crash.c: a request that crashes the servers that run it ---- */
 struct pw_crash {
-	const char *body; /* of that request; NULL: there is none */
-	int after_ms;     /* from when a server begins to run it until the server ends */
-	int back_ms;      /* from then until it stands again at its address; 0: never */
-	int same_id;      /* under the id that it had, in a new life; else under a new one */
-	int ends;         /* servers that ended under it */
-	int64_t third_us; /* when the third did; 0: not yet */
-	/* What becomes of the server then; NULL: pw_crash_now */
+	const char *body; /* of that request; NULL: none */
+	int after_ms;     /* from the start of a run until its server crashes */
+	int back_ms;      /* from the crash until it restarts at its address; 0: never */
+	int same_id;      /* restarts under its id, as a new incarnation; else under a new id */
+	int crashes;      /* server crashes so far */
+	int64_t third_crash_us; /* time of the third crash; 0: none yet */
+	/* Called instead of pw_crash_now, unless NULL. */
 	void (*end)(struct pw_server *s);
 };
-/* Whatever a test sets here is gone with pw_end. */
+/* Reset by pw_end. */
 extern struct pw_crash pw_crash;
-/* Whether that is the request, and its server will end. */
+/* Returns 1 if r is a run of that request, and schedules the crash. */
 int pw_crash_begin(struct pw_run *r, const char *body);
-/* s ends now, and is back as pw_crash says. */
+/* Crashes s now; it restarts as set in pw_crash. */
 void pw_crash_now(struct pw_server *s);
-/* Runs of it that began so long after the third end. */
+/* Number of runs of it that began more than ms after the third crash. */
 int pw_crash_runs_after(int ms);
 void pw_crash_end(void);
 
-/* ---- pw_run.c: what runs on them ---- */
-/* Runs of a request, started anywhere. */
+/* ---- pw_run.c: runs on the servers ---- */
+/* Number of runs of a request, on all servers. */
 int pw_runs_of(const char *id);
 struct pw_run *pw_run_of(const char *id, int nth);
-/* copy: the run goes on from it; empty: from the start. */
+/* Starts a run, from a copy, or from the beginning if copy is empty. */
 void pw_run_begin(struct pw_server *s, struct hs *h, const char *copy);
-void pw_run_over(struct pw_run *r);
-/* The stream of that id that has begun on s, or NULL. */
+/* Detaches the run from its connection and records its end. */
+void pw_run_finish(struct pw_run *r);
+/* The running stream with this id on s that has sent events, or NULL. */
 struct pw_run *pw_run_at(struct pw_server *s, const char *id);
-/* A run that may be gone on with: by its own id (a backup), or by a handle of a move. */
-struct pw_run *pw_run_copied(const char *copy);
-/* The field's value, empty where there is none. */
+/* The run that a copy continues, by its id (a backup) or the handle of a move, or NULL. */
+struct pw_run *pw_run_by_copy(const char *copy);
+/* Copies a header field's value; empty if there is none. */
 void pw_field(struct hs *h, const char *name, char *out, size_t max);
 
 /* ---- pw_conf.c: the operator ---- */
@@ -241,16 +245,16 @@
  * /safe/, /unsafe/ (keyed), /open/ (needs no key). Key "k1" belongs to workspace "w1". */
 struct pw_conf {
 	int version, timeout_ms, extra_routes, attempts;
-	int aim_ms;       /* of each route */
-	int tokens;       /* memory of an engine */
-	int link_mbps;    /* over which it moves */
-	int cold_per_s;   /* requests that a server of app bears in its first second; 0: any */
-	const char *keys; /* JSON list of w1's keys */
-	const char *regions; /* JSON list of those of /chat/ and /safe/; NULL: any */
+	int target_latency_ms; /* latency objective of each route */
+	int tokens;            /* memory of an engine */
+	int link_mbps;         /* link over which engines move it */
+	int cold_per_s;        /* rate limit of a server of app in its first second; 0: none */
+	const char *keys;      /* JSON list of w1's API keys */
+	const char *regions; /* JSON list of allowed regions of /chat/ and /safe/; NULL: any */
 	const char *safe_service;
 };
 extern struct pw_conf pw_conf;
-/* The configuration as it would be written. */
+/* The configuration as JSON. */
 GString *pw_conf_text(void);
 void pw_conf_write(void);
 
@@ -258,33 +262,37 @@
 struct pw_call {
 	struct hx *x;
 	int status, ended, err, events;
-	int64_t began_us, first_us, ended_us, gap_us; /* longest pause between events */
+	int64_t began_us, first_us, ended_us, gap_us; /* gap_us: longest pause between events */
 	int64_t event_us;
 	char retry_after[32], id[64], signature[64], connection[32];
 	GString *body;
 };
-/* path with a leading slash; kind of request by path; fields: more head lines or NULL. */
+/* path: with a leading slash, selects the route; fields: additional header lines or NULL. */
 struct pw_call *pw_call(struct pw_entry *e, const char *method, const char *path,
 			const char *fields, const char *body);
-/* The same with k1, an id, a deadline and a prompt. */
-struct pw_call *pw_ask(struct pw_entry *e, const char *method, const char *path,
-		       int deadline_ms);
-/* The status of a safe call with that key. */
+/* pw_call with key k1, a new id, a deadline and a prompt. */
+struct pw_call *pw_request(struct pw_entry *e, const char *method, const char *path,
+			   int deadline_ms);
+/* The status of a request to /safe/ with this key. */
 int pw_status_of_key(struct pw_entry *e, const char *key);
-void pw_call_leave(struct pw_call *c);
-/* Frees the calls of a test that ends. */
+/* Closes the caller's connection. */
+void pw_call_cancel(struct pw_call *c);
+/* Frees all calls of the test. */
 void pw_calls_end(void);
+/* Runs the loop until the call has ended or ms have passed; returns whether it has. */
 int pw_call_wait(struct pw_call *c, int ms);
-/* Whether the body holds the events 1..n of the request, each once and in order. */
-int pw_stream_whole(const struct pw_call *c, int n);
-/* Sends bytes as they are on one connection; what came back until it ended or ms are over. */
+/* Whether the call ended well and its body is events 1..n, each once and in order. */
+int pw_stream_complete(const struct pw_call *c, int n);
+/* Sends bytes unchanged on one connection; returns what was received until it closed or ms
+ * passed. Free with g_free. */
 char *pw_raw(struct pw_entry *e, const char *bytes, size_t n, int ms, int *closed);
 char *pw_raw_at(const char *ip, int port, const char *bytes, size_t n, int ms, int *closed);
 void pw_address(const struct pw_entry *e, int port, struct sockaddr_in *at);
 void pw_ignore_data(struct cn *c, const char *p, size_t n);
 void pw_ignore_end(struct cn *c, int err);
-/* GET on another port of an entry; the status, body into out. */
-int pw_question(const char *ip, int port, const char *target, GString *out);
-/* Whether an entry's directory names the one at this address to callers. */
-int pw_where_names(struct pw_entry *asked, const char *ip);
+/* GET at any port of an entry; returns the status or -1, appends the body to out unless NULL.
+ */
+int pw_get(const char *ip, int port, const char *target, GString *out);
+/* Whether the directory of an entry lists the entry at ip for callers. */
+int pw_directory_has(struct pw_entry *e, const char *ip);
 #endif
--- a/test/pw_caller.c
+++ b/test/pw_caller.c
@@ -1,13 +1,13 @@
-/* Callers: requests, questions and raw bytes sent to an entry. */
+/* Callers: requests and raw bytes sent to an entry. */
 #include "clock.h"
 #include "pw.h"
 #include <string.h>
 
-#define CONNECT_US 1000000    /* loopback: longer means that nobody listens or all is stuck */
-#define ASK_CONNECT_US 500000 /* the same of a question, of which many are asked in turn */
+#define CONNECT_US 1000000    /* on loopback, longer means that no process listens or accepts */
+#define ASK_CONNECT_US 500000 /* of pw_get, which is called many times in sequence */
 
 static int serial;
-static GPtrArray *calls; /* of this test */
+static GPtrArray *calls; /* of the current test */
 
 static void free_call(gpointer p);
 
@@ -80,8 +80,8 @@
 	return c;
 }
 
-struct pw_call *pw_ask(struct pw_entry *e, const char *method, const char *path,
-		       int deadline_ms)
+struct pw_call *pw_request(struct pw_entry *e, const char *method, const char *path,
+			   int deadline_ms)
 {
 	char id[64], fields[512];
 	struct pw_call *c;
@@ -110,7 +110,7 @@
 	return c->status;
 }
 
-void pw_call_leave(struct pw_call *c)
+void pw_call_cancel(struct pw_call *c)
 {
 	if (c->x) hx_cancel(c->x);
 	c->x = NULL;
@@ -121,7 +121,7 @@
 {
 	struct pw_call *c = p;
 
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	g_string_free(c->body, TRUE);
 	g_free(c);
 }
@@ -141,7 +141,7 @@
 	return pw_until(has_ended, c, ms);
 }
 
-int pw_stream_whole(const struct pw_call *c, int n)
+int pw_stream_complete(const struct pw_call *c, int n)
 {
 	GString *want = g_string_new(NULL);
 	int i, same;
@@ -212,7 +212,7 @@
 	return in;
 }
 
-int pw_question(const char *ip, int port, const char *target, GString *out)
+int pw_get(const char *ip, int port, const char *target, GString *out)
 {
 	struct pw_call *c = g_new0(struct pw_call, 1);
 	GString *q = g_string_new(NULL);
@@ -231,7 +231,7 @@
 	else
 		pw_call_wait(c, 1000);
 	status = c->ended && !c->err ? c->status : -1;
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	if (!out) g_string_free(c->body, TRUE);
 	g_free(c);
 	return status;
@@ -255,14 +255,13 @@
 	cn_close(c);
 }
 
-int pw_where_names(struct pw_entry *asked, const char *ip)
+int pw_directory_has(struct pw_entry *e, const char *ip)
 {
 	GString *out = g_string_new(NULL);
 	char text[64];
 	int named;
 
-	pw_question(asked->ip, PW_DIRECTORY, "/-/resolution?name=test.example&region=r&zone=a",
-		    out);
+	pw_get(e->ip, PW_DIRECTORY, "/-/resolution?name=test.example&region=r&zone=a", out);
 	g_snprintf(text, sizeof text, "\"%s:%d\"", ip, PW_FRONT);
 	named = strstr(out->str, text) != NULL;
 	g_string_free(out, TRUE);
--- a/test/pw_conf.c
+++ b/test/pw_conf.c
@@ -1,4 +1,4 @@
-/* The operator: writes the configuration into the small platform's store. */
+/* The operator: writes the configuration to the test platform's store. */
 #include "pw.h"
 
 struct pw_conf pw_conf;
@@ -13,7 +13,8 @@
 		"\",\"kind\":\"%s\","
 		"\"timeoutMs\":%d,\"targetLatencyMs\":%d,\"priority\":%d,\"service\":\"%s\","
 		"\"gap_aim_ms\":100%s}",
-		path, path, kind, pw_conf.timeout_ms, pw_conf.aim_ms, priority, service, more);
+		path, path, kind, pw_conf.timeout_ms, pw_conf.target_latency_ms, priority,
+		service, more);
 }
 
 GString *pw_conf_text(void)
@@ -33,7 +34,7 @@
 	route(s, "chat", "streaming", "llm", 1, chat);
 	route(s, "sum", "streaming", "llm", 0, ",\"maxAttempts\":2,\"streamResumption\":true");
 	route(s, "safe", "safe", pw_conf.safe_service, 2, safe);
-	/* more attempts than one: its kind alone must keep it from running twice */
+	/* several attempts allowed: only its kind prevents a second run */
 	route(s, "unsafe", "unsafe", "app", 2, ",\"maxAttempts\":3");
 	route(s, "open", "safe", "app", 2, ",\"maxAttempts\":2,\"public\":true");
 	for (i = 0; i < pw_conf.extra_routes; i++) {
--- a/test/pw_crash.c
+++ b/test/pw_crash.c
@@ -1,21 +1,22 @@
-/* A request that ends each backend server that begins to run it; the server is back after a
- * while. */
+/* A request that crashes each backend server that starts to run it; the server restarts after a
+ * delay. */
 #include "clock.h"
 #include "pw.h"
 #include <string.h>
 
-#define LISTED_MS 3000 /* an entry whose server says nothing more stands for so long */
+#define LISTED_MS 3000 /* a crashed server's list entry lapses after this time */
 
 struct pw_crash pw_crash;
-static GPtrArray *pending; /* of struct crash: servers that are away */
+static GPtrArray *pending; /* of struct crash: scheduled restarts and removals */
 
 struct crash {
 	struct ev_timer timer;
-	struct pw_server *s; /* is back when the timer fires; NULL: an old entry goes */
-	char id[64];         /* of that entry */
+	struct pw_server *s; /* restarts when the timer fires; NULL: a list entry is removed */
+	char id[64];         /* of the server, or of that list entry */
 };
 
-static void plan(struct pw_server *s, const char *id, void (*fire)(struct ev_timer *), int ms)
+static void schedule(struct pw_server *s, const char *id, void (*fire)(struct ev_timer *),
+		     int ms)
 {
 	struct crash *c = g_new0(struct crash, 1);
 
@@ -27,7 +28,7 @@
 	ev_in(&c->timer, (int64_t)ms * 1000);
 }
 
-static void over(struct crash *c)
+static void finish(struct crash *c)
 {
 	g_ptr_array_remove_fast(pending, c);
 	ev_free_later(c);
@@ -40,35 +41,35 @@
 
 	g_snprintf(key, sizeof key, "servers/%s", c->id);
 	pw_store_remove(key);
-	over(c);
+	finish(c);
 }
 
-static void on_back(struct ev_timer *t)
+static void on_restart(struct ev_timer *t)
 {
 	struct crash *c = (struct crash *)t;
 	struct pw_server *s = c->s;
 
 	if (!pw_crash.same_id) {
-		plan(NULL, s->id, on_unlisted, LISTED_MS - pw_crash.back_ms);
+		schedule(NULL, s->id, on_unlisted, LISTED_MS - pw_crash.back_ms);
 		pw_server_rename(s);
 	}
-	s->born_ms = clock_wall_ms();
+	s->incarnation_ms = clock_wall_ms();
 	pw_server_listen(s);
 	pw_server_list(s, "ready");
-	over(c);
+	finish(c);
 }
 
 void pw_crash_now(struct pw_server *s)
 {
-	pw_server_die(s);
-	if (pw_crash.back_ms) plan(s, s->id, on_back, pw_crash.back_ms);
+	pw_server_crash(s);
+	if (pw_crash.back_ms) schedule(s, s->id, on_restart, pw_crash.back_ms);
 }
 
 static void on_crash(struct ev_timer *t)
 {
 	struct pw_run *r = (struct pw_run *)((char *)t - offsetof(struct pw_run, timer));
 
-	if (++pw_crash.ends == 3) pw_crash.third_us = clock_us();
+	if (++pw_crash.crashes == 3) pw_crash.third_crash_us = clock_us();
 	if (pw_crash.end)
 		pw_crash.end(r->server);
 	else
@@ -85,11 +86,11 @@
 
 int pw_crash_runs_after(int ms)
 {
-	int64_t from = pw_crash.third_us + (int64_t)ms * 1000;
+	int64_t from = pw_crash.third_crash_us + (int64_t)ms * 1000;
 	uint32_t i;
 	int n = 0;
 
-	for (i = 0; pw_runs && pw_crash.third_us && i < pw_runs->len; i++) {
+	for (i = 0; pw_runs && pw_crash.third_crash_us && i < pw_runs->len; i++) {
 		const struct pw_run *r = g_ptr_array_index(pw_runs, i);
 
 		n += !strcmp(r->body_sum, pw_crash.body) && r->began_us > from;
--- a/test/pw_entry.c
+++ b/test/pw_entry.c
@@ -1,4 +1,4 @@
-/* Entries that run beside the small platform: their settings, processes and logs. */
+/* Entries of the test platform: their settings, processes and logs. */
 #include "pw.h"
 #include <errno.h>
 #include <fcntl.h>
@@ -11,24 +11,24 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define ENTRIES_MAX 8 /* of one test */
+#define ENTRIES_MAX 8 /* in one test */
 
 const char *pw_entry_program = "saddlehead-entry";
 
 static struct pw_entry entries[ENTRIES_MAX];
-static int nentries, first_ip; /* entries of earlier tests had the addresses up to first_ip */
+static int nentries, first_ip; /* first_ip: last address used by earlier tests */
 static char dir[64];
 static const char *more_settings;
 
 static void remove_dir(void)
 {
-	rmdir(dir); /* not with logs that were kept */
+	rmdir(dir); /* fails if logs were kept */
 }
 
 void pw_entries_init(void)
 {
 	g_snprintf(dir, sizeof dir, "/tmp/pw-%d", getpid());
-	/* One that a process of the same number left with its logs is used again. */
+	/* A directory that an earlier process with this id left with its logs is reused. */
 	if (mkdir(dir, 0700) && errno != EEXIST) abort();
 	atexit(remove_dir);
 }
@@ -66,14 +66,14 @@
 	fclose(f);
 }
 
-/* last: closed by exec, after all others that it inherited. */
-static void become(const struct pw_entry *e, int last)
+/* last: the descriptor that exec closes, after all other inherited ones have been closed. */
+static void exec_entry(const struct pw_entry *e, int last)
 {
 	const char *build = getenv("B");
 	char program[128], port[16];
 	int fd = open(e->log, O_WRONLY | O_CREAT | O_APPEND, 0600);
 
-	prctl(PR_SET_PDEATHSIG, SIGKILL); /* a test that dies leaves nothing behind */
+	prctl(PR_SET_PDEATHSIG, SIGKILL); /* entries don't outlive a test that crashes */
 	dup2(fd, STDOUT_FILENO);
 	dup2(fd, STDERR_FILENO);
 	close_range(STDERR_FILENO + 1, last - 1, 0);
@@ -84,8 +84,8 @@
 	_exit(127);
 }
 
-/* The last line of a name counts. */
-static void not_the_first_start(const struct pw_entry *e)
+/* The last line for a setting takes effect. */
+static void clear_first_start(const struct pw_entry *e)
 {
 	FILE *f = fopen(e->settings, "a");
 
@@ -94,8 +94,8 @@
 	fclose(f);
 }
 
-/* Waits until the new process runs its program and has closed what it inherited: a descriptor
- * that this one closes while the other still has it would go on being told of by epoll. */
+/* Waits until the new process has called exec and closed the inherited descriptors. Otherwise
+ * epoll would keep reporting a descriptor that this process closes while the child has it. */
 static void launch(struct pw_entry *e)
 {
 	int ends[2];
@@ -103,16 +103,16 @@
 
 	if (pipe2(ends, O_CLOEXEC)) abort();
 	e->pid = fork();
-	if (!e->pid) become(e, ends[1]);
+	if (!e->pid) exec_entry(e, ends[1]);
 	close(ends[1]);
 	while (read(ends[0], &none, 1) < 0 && errno == EINTR) {
 	}
 	close(ends[0]);
 }
 
-void pw_entry_again(struct pw_entry *e)
+void pw_entry_restart(struct pw_entry *e)
 {
-	not_the_first_start(e);
+	clear_first_start(e);
 	launch(e);
 }
 
@@ -123,7 +123,7 @@
 	g_strlcpy(e->ip, pw_ip(first_ip + nentries), sizeof e->ip);
 	g_snprintf(e->settings, sizeof e->settings, "%s/e%d.conf", dir, nentries);
 	g_snprintf(e->log, sizeof e->log, "%s/e%d.log", dir, nentries);
-	unlink(e->log); /* of an earlier process */
+	unlink(e->log); /* left by an earlier process */
 	write_settings(e);
 	launch(e);
 	return e;
@@ -142,7 +142,7 @@
 
 	for (i = 0; i < 100; i++) {
 		pw_run(30);
-		if (pw_question(e->ip, PW_READY, "/-/readiness", NULL) == 200) return 1;
+		if (pw_get(e->ip, PW_READY, "/-/readiness", NULL) == 200) return 1;
 	}
 	fprintf(stderr, "the entry is not ready after three seconds\n");
 	return 0;
@@ -193,8 +193,7 @@
 	char *line = g_strdup_printf("\n%s ", name), *at;
 	double v = -1;
 
-	if (pw_question(e->ip, PW_METRICS, "/metrics", out) == 200 &&
-	    (at = strstr(out->str, line)))
+	if (pw_get(e->ip, PW_METRICS, "/metrics", out) == 200 && (at = strstr(out->str, line)))
 		v = g_ascii_strtod(at + strlen(line), NULL);
 	g_free(line);
 	g_string_free(out, TRUE);
--- a/test/pw_peer.c
+++ b/test/pw_peer.c
@@ -1,5 +1,5 @@
-/* Instances played by the test. They ask on their link and on a connection of its own, and
- * answer where they are asked. */
+/* Simulated instances. They request copies both on their link and on a separate connection;
+ * they answer MESH_WANT on their link and FETCH on the connection that it was received on. */
 #include "pw_peer.h"
 #include "clock.h"
 #include "mesh_impl.h"
@@ -10,27 +10,28 @@
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-#define FIRST_HOST 100      /* entries have the addresses before, the store those after */
-#define BEAT_US 300000      /* often enough to be alive */
-#define ASK_US 50000        /* between two questions of one that wants a copy */
-#define PACE_US 100000      /* between two parts of a copy that is sent slowly */
-#define COPY_MIN 65536      /* bytes: no heartbeat or load message is so large */
-#define RECEIVE_BYTES 65536 /* that the kernel keeps: what is not read must not be sent */
-#define FETCH 9             /* the question that is answered on its own connection */
+#define FIRST_HOST 100       /* lower addresses are those of entries, from 200 the store */
+#define HEARTBEAT_US 300000  /* frequent enough to count as alive */
+#define REQUEST_US 50000     /* between two requests of a peer that wants a copy */
+#define PACE_US 100000       /* between two parts of a copy that is sent in parts */
+#define MIN_COPY_BYTES 65536 /* bytes; heartbeats and load messages are smaller */
+#define RECEIVE_BYTES \
+	65536   /* kernel receive buffer: small, so that unread data stalls the sender */
+#define FETCH 9 /* type of a request that is answered on its own connection */
 
 struct pw_peer_cn {
 	struct cn cn;
 	struct pw_peer *peer;
 	GString *buf;
-	int receiving;              /* a copy has begun to come */
-	int silent;                 /* what comes is taken, and arrives nowhere */
-	struct ev_timer rest, pace; /* reads on; sends the next part */
+	int receiving;              /* a copy is in progress */
+	int silent;                 /* received data is dropped */
+	struct ev_timer rest, pace; /* resumes reading; sends the next part */
 	size_t sent;                /* of the copy */
 };
 
-int pw_peer_at_once;
+int pw_peer_max_copies;
 static GPtrArray *peers;
-static int at_once;
+static int receiving_copies;
 
 /* ---- frames ---- */
 
@@ -63,7 +64,7 @@
 	msgpack_pack_str_body(p, s, strlen(s));
 }
 
-static void write_beat(GString *out, const struct pw_peer *me)
+static void write_heartbeat(GString *out, const struct pw_peer *me)
 {
 	struct frame f;
 	msgpack_packer *p = begin(&f, MESH_BEAT, MESH_BEAT_FIELDS);
@@ -72,30 +73,30 @@
 	g_snprintf(front, sizeof front, "%s:%d", me->ip, PW_FRONT);
 	pack_text(p, me->name);
 	pack_text(p, me->ip);
-	pack_text(p, me->takes_callers ? front : "");
-	msgpack_pack_int(p, me->takes_callers);
+	pack_text(p, me->serving_callers ? front : "");
+	msgpack_pack_int(p, me->serving_callers);
 	msgpack_pack_int(p, 0);
 	msgpack_pack_uint64(p, me->conf);
 	msgpack_pack_uint64(p, 0);
-	msgpack_pack_int(p, -1); /* sure of nothing */
+	msgpack_pack_int(p, -1); /* nothing confirmed */
 	msgpack_pack_int64(p, clock_us());
-	msgpack_pack_int64(p, me->heard_stamp_us);
-	msgpack_pack_int64(p, me->heard_stamp_us ? clock_us() - me->beat_us : 0);
+	msgpack_pack_int64(p, me->entry_clock_us);
+	msgpack_pack_int64(p, me->entry_clock_us ? clock_us() - me->heartbeat_us : 0);
 	msgpack_pack_int(p, me->store_up);
 	msgpack_pack_int(p, 0);
 	msgpack_pack_int(p, me->link_mbps);
-	msgpack_pack_int(p, me->takes_callers);
-	msgpack_pack_uint64(p, 0); /* knows of nothing that is blamed ... */
+	msgpack_pack_int(p, me->serving_callers);
+	msgpack_pack_uint64(p, 0); /* nothing quarantined ... */
 	msgpack_pack_uint64(p, 0); /* ... or drained */
 	msgpack_pack_uint64(p, 0); /* has no list of its own */
-	msgpack_pack_uint32(p, 0); /* nor says where it stands */
+	msgpack_pack_uint32(p, 0); /* states no position */
 	msgpack_pack_uint32(p, 0);
 	msgpack_pack_int(p, 1);
 	finish(&f, out);
 }
 
-/* Asks for the configuration alone, whatever its revision. */
-static void write_question(GString *out, int type)
+/* Requests only the configuration, whatever its revision. */
+static void write_request(GString *out, int type)
 {
 	struct frame f;
 	msgpack_packer *p = begin(&f, type, 3);
@@ -105,7 +106,7 @@
 	finish(&f, out);
 }
 
-void pw_peer_holds(struct pw_peer *me, const char *value)
+void pw_peer_serve_config(struct pw_peer *me, const char *value)
 {
 	struct frame f;
 	msgpack_packer *p = begin(&f, MESH_ITEMS, 4);
@@ -121,7 +122,7 @@
 	finish(&f, me->copy);
 }
 
-void pw_peer_names(struct pw_peer *me, const struct pw_peer *holder)
+void pw_peer_name_holder(struct pw_peer *me, const struct pw_peer *holder)
 {
 	struct frame f;
 	msgpack_packer *p = begin(&f, MESH_HOLDERS, 4);
@@ -133,8 +134,8 @@
 	finish(&f, me->copy);
 }
 
-void pw_peer_tells(struct pw_peer *me, uint64_t conf, uint64_t backends, const char *key,
-		   uint64_t revision, const char *value)
+void pw_peer_send_update(struct pw_peer *me, uint64_t conf, uint64_t backends, const char *key,
+			 uint64_t revision, const char *value)
 {
 	struct frame f;
 	GString *out = g_string_new(NULL);
@@ -158,7 +159,7 @@
 	msgpack_pack_bin_body(p, fp->byte, sizeof fp->byte);
 }
 
-static void tell(struct pw_peer *me, struct frame *f)
+static void send_frame(struct pw_peer *me, struct frame *f)
 {
 	GString *out = g_string_new(NULL);
 
@@ -167,7 +168,8 @@
 	g_string_free(out, TRUE);
 }
 
-void pw_peer_tells_end(struct pw_peer *me, const char *server, const struct fp *fp, int ran_ms)
+void pw_peer_report_crash(struct pw_peer *me, const char *server, const struct fp *fp,
+			  int ran_ms)
 {
 	struct frame f;
 	msgpack_packer *p = begin(&f, MESH_ENDED, 6);
@@ -177,20 +179,20 @@
 	msgpack_pack_int(p, 1);
 	pack_fp(p, fp);
 	msgpack_pack_int(p, ran_ms);
-	tell(me, &f);
+	send_frame(me, &f);
 }
 
-void pw_peer_tells_leaving(struct pw_peer *me, const char *server, int64_t born_ms)
+void pw_peer_report_leaving(struct pw_peer *me, const char *server, int64_t incarnation_ms)
 {
 	struct frame f;
 	msgpack_packer *p = begin(&f, MESH_LEAVING, 3);
 
 	pack_text(p, server);
-	msgpack_pack_int64(p, born_ms);
-	tell(me, &f);
+	msgpack_pack_int64(p, incarnation_ms);
+	send_frame(me, &f);
 }
 
-void pw_peer_tells_verdict(struct pw_peer *me, const struct fp *fp)
+void pw_peer_send_verdict(struct pw_peer *me, const struct fp *fp)
 {
 	struct frame f;
 	msgpack_packer *p = begin(&f, MESH_VERDICTS, 6);
@@ -200,7 +202,7 @@
 	msgpack_pack_int(p, 1);
 	msgpack_pack_int(p, 0);
 	msgpack_pack_int(p, 5);
-	tell(me, &f);
+	send_frame(me, &f);
 }
 
 /* ---- connections ---- */
@@ -208,7 +210,7 @@
 static void close_cn(struct pw_peer_cn *c)
 {
 	if (!c) return;
-	if (c->receiving) at_once--;
+	if (c->receiving) receiving_copies--;
 	ev_stop(&c->rest);
 	ev_stop(&c->pace);
 	cn_reset(&c->cn);
@@ -228,7 +230,7 @@
 	close_cn(c);
 }
 
-static void on_pace(struct ev_timer *t)
+static void on_send_timer(struct ev_timer *t)
 {
 	struct pw_peer_cn *c =
 		(struct pw_peer_cn *)((char *)t - offsetof(struct pw_peer_cn, pace));
@@ -246,13 +248,13 @@
 	me->asks++;
 	if (!me->copy || !on || on->pace.armed) return;
 	on->sent = 0;
-	on->pace.fire = on_pace;
+	on->pace.fire = on_send_timer;
 	ev_in(&on->pace, 0);
 }
 
-#define BEAT_STAMP 9 /* where its sender's clock stands in a heartbeat */
+#define HEARTBEAT_CLOCK_FIELD 9 /* index of the sender's clock in a heartbeat */
 
-static int64_t read_stamp(const char *p, uint32_t len)
+static int64_t read_heartbeat_clock(const char *p, uint32_t len)
 {
 	msgpack_unpacked u;
 	size_t off = 0;
@@ -260,51 +262,52 @@
 
 	msgpack_unpacked_init(&u);
 	if (msgpack_unpack_next(&u, p, len, &off) == MSGPACK_UNPACK_SUCCESS)
-		us = u.data.via.array.ptr[BEAT_STAMP].via.i64;
+		us = u.data.via.array.ptr[HEARTBEAT_CLOCK_FIELD].via.i64;
 	msgpack_unpacked_destroy(&u);
 	return us;
 }
 
-static void heard_beat(struct pw_peer *me, const char *p, uint32_t len)
+static void on_heartbeat(struct pw_peer *me, const char *p, uint32_t len)
 {
 	int64_t now = clock_us();
 
-	me->heard_stamp_us = read_stamp(p, len);
+	me->entry_clock_us = read_heartbeat_clock(p, len);
 
-	if (me->beat_us) me->gap_us = MAX(me->gap_us, now - me->beat_us);
-	me->beat_us = now;
+	if (me->heartbeat_us) me->gap_us = MAX(me->gap_us, now - me->heartbeat_us);
+	me->heartbeat_us = now;
 }
 
-static void on_rested(struct ev_timer *t)
+static void on_read_pause_over(struct ev_timer *t)
 {
 	cn_pause(&((struct pw_peer_cn *)((char *)t - offsetof(struct pw_peer_cn, rest)))->cn,
 		 0);
 }
 
-static void copy_begins(struct pw_peer_cn *c)
+static void on_copy_start(struct pw_peer_cn *c)
 {
 	c->receiving = 1;
-	at_once++;
-	pw_peer_at_once = MAX(pw_peer_at_once, at_once);
+	receiving_copies++;
+	pw_peer_max_copies = MAX(pw_peer_max_copies, receiving_copies);
 	if (!c->peer->read_pause_ms) return;
 	cn_pause(&c->cn, 1);
-	c->rest.fire = on_rested;
+	c->rest.fire = on_read_pause_over;
 	ev_in(&c->rest, (int64_t)c->peer->read_pause_ms * 1000);
 }
 
-/* 1 when the connection has served its purpose. */
-static int copy_ends(struct pw_peer_cn *c)
+/* Returns 1 if the connection was opened for this copy and can be closed. */
+static int on_copy_end(struct pw_peer_cn *c)
 {
 	c->receiving = 0;
-	at_once--;
+	receiving_copies--;
 	c->peer->copies++;
 	c->peer->wants = 0;
 	return c == c->peer->asking;
 }
 
-#define ARRAY_OF_16_BITS 0xdc /* an array of more than 15 begins with this and its length */
+#define ARRAY_OF_16_BITS \
+	0xdc /* msgpack prefix of an array of more than 15, before its length */
 
-/* The type stands behind what the array begins with: one byte, or three. */
+/* The type follows the array's prefix of one or three bytes. */
 static int frame_type(const char *p)
 {
 	return (unsigned char)((unsigned char)p[0] == ARRAY_OF_16_BITS ? p[3] : p[1]);
@@ -312,21 +315,21 @@
 
 static void send_on_link(struct pw_peer *me);
 
-#define VERDICT_MIN                                                               \
-	16 /* bytes of a frame that names one, and more than of one that does not \
+#define MIN_VERDICT_BYTES                                                            \
+	16 /* bytes: a frame that names a verdict has at least so many, others fewer \
 	    */
 
-static void take_small(struct pw_peer_cn *c, const char *p, uint32_t len)
+static void handle_small_frame(struct pw_peer_cn *c, const char *p, uint32_t len)
 {
 	switch (frame_type(p)) {
-	case MESH_BEAT: heard_beat(c->peer, p, len); return;
+	case MESH_BEAT: on_heartbeat(c->peer, p, len); return;
 	case MESH_ASK:
 		if (c->peer->link && !c->peer->link->cn.connecting) send_on_link(c->peer);
 		return;
 	case MESH_WANT: answer(c->peer, c->peer->link); return;
 	case FETCH: answer(c->peer, c); return;
 	case MESH_LEAVING: c->peer->leavings++; return;
-	case MESH_VERDICTS: c->peer->verdicts += len >= VERDICT_MIN; return;
+	case MESH_VERDICTS: c->peer->verdicts += len >= MIN_VERDICT_BYTES; return;
 	}
 }
 
@@ -340,11 +343,11 @@
 	while (c->buf->len > sizeof len + 3) {
 		memcpy(&len, c->buf->str, sizeof len);
 		len = ntohl(len);
-		if (len >= COPY_MIN && !c->receiving) copy_begins(c);
+		if (len >= MIN_COPY_BYTES && !c->receiving) on_copy_start(c);
 		if (c->buf->len < sizeof len + len) return;
-		if (len < COPY_MIN)
-			take_small(c, c->buf->str + sizeof len, len);
-		else if (copy_ends(c)) {
+		if (len < MIN_COPY_BYTES)
+			handle_small_frame(c, c->buf->str + sizeof len, len);
+		else if (on_copy_end(c)) {
 			on_end(cn, 0);
 			return;
 		}
@@ -385,8 +388,8 @@
 	GString *out = g_string_new(NULL);
 
 	setsockopt(cn->ev.fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
-	write_beat(out, c->peer);
-	if (c == c->peer->asking) write_question(out, FETCH);
+	write_heartbeat(out, c->peer);
+	if (c == c->peer->asking) write_request(out, FETCH);
 	cn_write(cn, out->str, out->len);
 	g_string_free(out, TRUE);
 }
@@ -407,20 +410,20 @@
 {
 	GString *out = g_string_new(NULL);
 
-	write_beat(out, me);
-	if (me->wants) write_question(out, MESH_WANT);
+	write_heartbeat(out, me);
+	if (me->wants) write_request(out, MESH_WANT);
 	cn_write(&me->link->cn, out->str, out->len);
 	g_string_free(out, TRUE);
 }
 
-static void on_beat(struct ev_timer *t)
+static void on_heartbeat_timer(struct ev_timer *t)
 {
 	struct pw_peer *me = (struct pw_peer *)((char *)t - offsetof(struct pw_peer, beat));
 
-	ev_in(t, me->wants ? ASK_US : BEAT_US);
+	ev_in(t, me->wants ? REQUEST_US : HEARTBEAT_US);
 	if (me->mute) return;
 	if (!me->link) me->link = connect_to_entry(me);
-	/* Frames don't mix: what is sent slowly keeps others waiting. */
+	/* Frames can't be interleaved: none is sent while a copy is sent in parts. */
 	if (me->link && !me->link->cn.connecting && !me->link->pace.armed) send_on_link(me);
 	if (me->wants && !me->asking) me->asking = connect_to_entry(me);
 }
@@ -448,7 +451,7 @@
 	g_snprintf(me->name, sizeof me->name, "peer%u", peers->len);
 	g_ptr_array_add(peers, me);
 	listen_at(me);
-	me->beat.fire = on_beat;
+	me->beat.fire = on_heartbeat_timer;
 	ev_in(&me->beat, 0);
 	return me;
 }
@@ -493,5 +496,5 @@
 
 	for (i = 0; i < peers->len; i++) free_peer(g_ptr_array_index(peers, i));
 	g_ptr_array_set_size(peers, 0);
-	pw_peer_at_once = at_once = 0;
+	pw_peer_max_copies = receiving_copies = 0;
 }
--- a/test/pw_peer.h
+++ b/test/pw_peer.h
@@ -1,5 +1,5 @@
-/* Other instances, played by the test: they send heartbeats, hand on a configuration, and ask
- * for one. */
+/* Peer instances simulated by the test: they send heartbeats, and serve or fetch a copy of the
+ * configuration. */
 #ifndef PW_PEER_H
 #define PW_PEER_H
 #include "fp.h"
@@ -8,50 +8,52 @@
 struct pw_peer {
 	char ip[32], name[32];
 	struct pw_entry *entry;
-	uint64_t conf;     /* revision of the configuration that it says it has */
-	GString *copy;     /* the frame with that configuration, if it hands it on */
-	int pace_bytes;    /* of the copy are sent each tenth of a second; 0: all at once */
-	int read_pause_ms; /* rests so long when a copy has begun to come */
-	int link_mbps;     /* that it tells; 0 at first */
-	int takes_callers; /* it says that it is ready, at an address of its own */
-	int store_up;      /* it says that the store answers it */
-	int mute;          /* says nothing on its link, and leaves it open */
-	int wants;         /* asks the entry for a copy until it has one */
-	int asks;          /* came from the entry */
-	int copies;        /* came whole */
-	int verdicts;      /* frames that name blamed requests */
-	int leavings;      /* frames that name a server that leaves */
-	int64_t beat_us;   /* when the last heartbeat came */
-	int64_t gap_us;    /* longest time between two so far */
-	int64_t heard_stamp_us; /* the entry's clock as its last heartbeat tells it; 0: none */
-	struct pw_peer_cn *link, *asking; /* to the entry; the second for one question */
+	uint64_t conf;       /* revision of the configuration that it announces */
+	GString *copy;       /* the frame that answers a request for it; NULL: no answer */
+	int pace_bytes;      /* of the copy are sent per 100 ms; 0: all at once */
+	int read_pause_ms;   /* stops reading for so long when a copy starts to arrive */
+	int link_mbps;       /* that it announces; 0 by default */
+	int serving_callers; /* it announces that it receives caller traffic, at its own address
+			      */
+	int store_up;        /* it announces that the store answers it */
+	int mute;            /* sends nothing on its link, and leaves it open */
+	int wants;           /* requests a copy from the entry until it has one */
+	int asks;            /* requests for a copy received from the entry */
+	int copies;          /* complete copies received */
+	int verdicts;        /* frames received that name quarantined requests */
+	int leavings;        /* frames received that name a leaving server */
+	int64_t heartbeat_us;             /* when the last heartbeat was received */
+	int64_t gap_us;                   /* longest time between two heartbeats so far */
+	int64_t entry_clock_us;           /* the entry's clock in its last heartbeat; 0: none */
+	struct pw_peer_cn *link, *asking; /* to the entry; asking: for one request */
 	GPtrArray *in;                    /* of struct pw_peer_cn, from the entry */
 	struct ev_fd listener;
 	struct ev_timer beat;
 };
 
-/* Copies that had begun to come and were not whole, over all peers, at most so far. */
-extern int pw_peer_at_once;
+/* Maximum number of copies in progress at once so far, received by all peers. */
+extern int pw_peer_max_copies;
 
-/* Listens, connects to e, and sends heartbeats from now on; conf: see above. */
+/* Creates a peer that listens, connects to e and sends heartbeats; conf: see struct pw_peer. */
 struct pw_peer *pw_peer_new(struct pw_entry *e, uint64_t conf);
-/* It hands on this configuration. */
-void pw_peer_holds(struct pw_peer *p, const char *value);
-/* It has none to spare, and says that another one has it. */
-void pw_peer_names(struct pw_peer *p, const struct pw_peer *holder);
-/* Says on its link that this item is new to those who know all up to conf and backends. */
-void pw_peer_tells(struct pw_peer *p, uint64_t conf, uint64_t backends, const char *key,
-		   uint64_t revision, const char *value);
-/* Says that a backend server ended under this request. */
-void pw_peer_tells_end(struct pw_peer *p, const char *server, const struct fp *fp, int ran_ms);
-/* Says that a backend server leaves, in that life of it. */
-void pw_peer_tells_leaving(struct pw_peer *p, const char *server, int64_t born_ms);
-/* Says that this request is blamed for such ends. */
-void pw_peer_tells_verdict(struct pw_peer *p, const struct fp *fp);
-/* What the entry has open to it carries nothing more; new connections do. */
+/* Serves this configuration on request. */
+void pw_peer_serve_config(struct pw_peer *p, const char *value);
+/* Answers requests for the configuration with the name of another holder. */
+void pw_peer_name_holder(struct pw_peer *p, const struct pw_peer *holder);
+/* Sends an update with this item, for receivers that have all up to conf and backends. */
+void pw_peer_send_update(struct pw_peer *p, uint64_t conf, uint64_t backends, const char *key,
+			 uint64_t revision, const char *value);
+/* Reports that a backend server crashed while it ran this request. */
+void pw_peer_report_crash(struct pw_peer *p, const char *server, const struct fp *fp,
+			  int ran_ms);
+/* Reports that this incarnation of a backend server is leaving. */
+void pw_peer_report_leaving(struct pw_peer *p, const char *server, int64_t incarnation_ms);
+/* Sends the verdict that this request is quarantined. */
+void pw_peer_send_verdict(struct pw_peer *p, const struct fp *fp);
+/* Drops all further data on the connections that the entry has open to it; new ones work. */
 void pw_peer_silence(struct pw_peer *p);
-/* Says nothing any more, as if it had died. */
+/* Closes its link and its listener, as if it had crashed. */
 void pw_peer_stop(struct pw_peer *p);
-/* Ends all of them, before pw_end. */
+/* Frees all peers; called before pw_end. */
 void pw_peers_end(void);
 #endif
--- a/test/pw_query.c
+++ b/test/pw_query.c
@@ -1,4 +1,4 @@
-/* Arguments in the query of a request's target. */
+/* Query arguments of a request's target. */
 #include "pw.h"
 #include <errno.h>
 #include <string.h>
--- a/test/pw_run.c
+++ b/test/pw_run.c
@@ -1,4 +1,4 @@
-/* Runs on the backend servers: what each answers, in the mode that its server is in. */
+/* Runs on the backend servers and their answers, according to the server's mode. */
 #include "clock.h"
 #include "pw.h"
 #include <stdlib.h>
@@ -13,7 +13,7 @@
 	g_strlcpy(out, v ? v : "", max);
 }
 
-void pw_run_over(struct pw_run *r)
+void pw_run_finish(struct pw_run *r)
 {
 	ev_stop(&r->timer);
 	if (r->h) r->h->user = NULL;
@@ -21,7 +21,7 @@
 	if (!r->ended_us) r->ended_us = clock_us();
 }
 
-static void head(struct pw_run *r, int status, const char *more)
+static void send_head(struct pw_run *r, int status, const char *more)
 {
 	GString *g = g_string_new(NULL);
 	enum pw_mode m = r->server->mode;
@@ -32,7 +32,7 @@
 			m == PW_UNSIGNED ? "" : r->server->id, m == PW_UNSIGNED ? "" : "\r\n");
 	g_string_truncate(g, g->len - 2);
 	if (m == PW_ENCODED) g_string_append(g, "Content-Encoding: gzip\r\n");
-	g_string_append(g, r->server->says ? r->server->says : "");
+	g_string_append(g, r->server->extra_fields ? r->server->extra_fields : "");
 	g_string_append_printf(g, "%s\r\n", more);
 	hs_write(r->h, g->str, g->len);
 	g_string_free(g, TRUE);
@@ -50,14 +50,14 @@
 		g_snprintf(more, sizeof more, "Connection: close\r\n");
 	else
 		g_snprintf(more, sizeof more, "Content-Length: %zu\r\n", strlen(text));
-	head(r, r->server->mode == PW_ERROR ? 500 : 200, more);
+	send_head(r, r->server->mode == PW_ERROR ? 500 : 200, more);
 	hs_write(h, text, cut ? 6 : strlen(text));
 	if (r->server->mode == PW_EXTRA) {
-		head(r, 200, "Content-Length: 5\r\n");
+		send_head(r, 200, "Content-Length: 5\r\n");
 		hs_write(h, "extra", 5);
 	}
 	r->finished = 1;
-	pw_run_over(r);
+	pw_run_finish(r);
 	h->keep = 0;
 	if (cut)
 		hs_abort(h);
@@ -65,7 +65,7 @@
 		hs_finish(h);
 }
 
-static void chunk(struct hs *h, const char *p, size_t n)
+static void send_chunk(struct hs *h, const char *p, size_t n)
 {
 	char size[16];
 
@@ -79,31 +79,31 @@
 {
 	struct hs *h = r->h;
 
-	pw_run_over(r);
+	pw_run_finish(r);
 	hs_abort(h);
 }
 
 static void break_off(struct pw_run *r)
 {
-	chunk(r->h, "id: 99\nda", 9);
+	send_chunk(r->h, "id: 99\nda", 9);
 	reset(r);
 }
 
-static void padded_event(struct pw_run *r)
+static void send_padded_event(struct pw_run *r)
 {
 	GString *g = g_string_new(NULL);
-	gsize head;
+	gsize prefix_len;
 
 	g_string_printf(g, "id: %d\ndata: %s-%d ", r->events, r->id, r->events);
-	head = g->len;
-	g_string_set_size(g, head + r->server->event_bytes);
-	memset(g->str + head, '.', r->server->event_bytes);
+	prefix_len = g->len;
+	g_string_set_size(g, prefix_len + r->server->event_bytes);
+	memset(g->str + prefix_len, '.', r->server->event_bytes);
 	g_string_append(g, "\n\n");
-	chunk(r->h, g->str, g->len);
+	send_chunk(r->h, g->str, g->len);
 	g_string_free(g, TRUE);
 }
 
-static void next_event(struct pw_run *r)
+static void send_event(struct pw_run *r)
 {
 	struct pw_server *s = r->server;
 	struct hs *h = r->h;
@@ -115,20 +115,20 @@
 	}
 	if (s->mode == PW_SILENT && r->events >= s->break_after) return;
 	if (!r->events || r->events == atoi(r->after))
-		head(r, 200,
-		     "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
+		send_head(r, 200,
+			  "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
 	r->events++;
 	g_snprintf(text, sizeof text, "id: %d\ndata: %s-%d\n\n", r->events, r->id, r->events);
 	if (s->event_bytes)
-		padded_event(r);
+		send_padded_event(r);
 	else
-		chunk(h, text, strlen(text));
+		send_chunk(h, text, strlen(text));
 	if (r->events < s->events) {
 		ev_in(&r->timer, s->event_ms * 1000);
 		return;
 	}
 	r->finished = 1;
-	pw_run_over(r);
+	pw_run_finish(r);
 	hs_write(h, "0\r\n\r\n", 5);
 	hs_finish(h);
 }
@@ -137,7 +137,7 @@
 {
 	struct hs *h = r->h;
 
-	pw_run_over(r);
+	pw_run_finish(r);
 	hs_write(h, "what is this\r\n\r\n", 16);
 	h->keep = 0;
 	hs_finish(h);
@@ -150,7 +150,7 @@
 	char fields[96];
 
 	g_snprintf(fields, sizeof fields, "X-Request-Id: %s\r\n", r->id);
-	pw_run_over(r);
+	pw_run_finish(r);
 	pw_server_answer(s, h, 503, fields, "");
 }
 
@@ -166,12 +166,12 @@
 	default: break;
 	}
 	if (r->server->engine && r->server->mode != PW_ERROR)
-		next_event(r);
+		send_event(r);
 	else
 		plain_answer(r);
 }
 
-struct pw_run *pw_run_copied(const char *copy)
+struct pw_run *pw_run_by_copy(const char *copy)
 {
 	const char *name = strrchr(copy, '/');
 	uint32_t i;
--- a/test/pw_server.c
+++ b/test/pw_server.c
@@ -1,4 +1,4 @@
-/* Backend servers: listed, asked, given orders, and killed. */
+/* Backend servers: list entries, requests, move orders and crashes. */
 #include "clock.h"
 #include "hostport.h"
 #include "pf_json.h"
@@ -10,7 +10,7 @@
 static GPtrArray *servers;
 static int serial;
 
-static void keep_raw(struct pw_server *s, struct hs *h)
+static void save_head(struct pw_server *s, struct hs *h)
 {
 	GString *g = g_string_new(NULL);
 	uint32_t i;
@@ -27,13 +27,13 @@
 void pw_server_answer(struct pw_server *s, struct hs *h, int status, const char *fields,
 		      const char *body)
 {
-	char *all = g_strconcat(fields ? fields : "", s->says, NULL);
+	char *all = g_strconcat(fields ? fields : "", s->extra_fields, NULL);
 
 	hs_answer(h, status, all, body, strlen(body));
 	g_free(all);
 }
 
-int pw_server_most(const struct pw_server *s, int64_t from_us, int ms)
+int pw_server_max_arrivals(const struct pw_server *s, int64_t from_us, int ms)
 {
 	const int64_t *at = (const int64_t *)(void *)s->arrived_us->data;
 	uint32_t i, first = 0, most = 0;
@@ -62,51 +62,51 @@
 		struct hs *stream = r->h;
 
 		r->stopped = 1;
-		pw_run_over(r);
+		pw_run_finish(r);
 		hs_abort(stream);
 	}
 	json_object_put(o);
 	pw_server_answer(s, h, status, NULL, body);
 }
 
-struct late_move {
+struct delayed_move {
 	struct ev_timer timer;
 	struct pw_server *s;
-	struct hs *h; /* may be gone by then */
+	struct hs *h; /* may have closed by then */
 };
 
-static void on_late_move(struct ev_timer *t)
+static void on_delayed_move(struct ev_timer *t)
 {
-	struct late_move *m = (struct late_move *)t;
+	struct delayed_move *m = (struct delayed_move *)t;
 
 	m->s->moving--;
 	if (g_ptr_array_find(m->s->listener.conns, m->h, NULL)) move(m->s, m->h);
 	ev_free_later(m);
 }
 
-static void order(struct pw_server *s, struct hs *h)
+static void on_move_order(struct pw_server *s, struct hs *h)
 {
-	struct late_move *m;
+	struct delayed_move *m;
 
 	if (!s->move_ms) {
 		move(s, h);
 		return;
 	}
-	m = g_new0(struct late_move, 1);
-	m->timer.fire = on_late_move;
+	m = g_new0(struct delayed_move, 1);
+	m->timer.fire = on_delayed_move;
 	m->s = s;
 	m->h = h;
 	s->moving++;
-	s->moving_most = MAX(s->moving_most, s->moving);
+	s->max_moving = MAX(s->max_moving, s->moving);
 	ev_in(&m->timer, s->move_ms * 1000);
 }
 
-#define REPORT_OLD_MS 200 /* a report tells of what was so long ago */
+#define REPORT_AGE_MS 200 /* a report describes the runs as they were this long ago */
 
-/* Its runs as they were then: id, tokens, events, priority. */
+/* Writes id, tokens, events and priority of each run, REPORT_AGE_MS ago. */
 static void write_runs(const struct pw_server *s, GString *out)
 {
-	int late = REPORT_OLD_MS / s->event_ms;
+	int late = REPORT_AGE_MS / s->event_ms;
 	uint32_t i;
 
 	for (i = 0; pw_runs && i < pw_runs->len; i++) {
@@ -119,10 +119,10 @@
 	}
 }
 
-static void report(struct pw_server *s, struct hs *h)
+static void answer_report(struct pw_server *s, struct hs *h)
 {
-	GString *body = g_string_new(s->leaves ? "{\"state\":\"draining\",\"leaves_ms\":1500,"
-					       : "{\"state\":\"ready\",");
+	GString *body = g_string_new(s->draining ? "{\"state\":\"draining\",\"leaves_ms\":1500,"
+						 : "{\"state\":\"ready\",");
 
 	s->reports++;
 	g_string_append(body, "\"runs\":[");
@@ -132,13 +132,13 @@
 	g_string_free(body, TRUE);
 }
 
-static void check(struct pw_server *s, struct hs *h)
+static void answer_health_check(struct pw_server *s, struct hs *h)
 {
 	char fields[96];
 
 	s->checks++;
 	g_snprintf(fields, sizeof fields, "X-Instance-Id: %s\r\n", s->id);
-	pw_server_answer(s, h, s->ailing ? 503 : 200, fields, "");
+	pw_server_answer(s, h, s->unhealthy ? 503 : 200, fields, "");
 }
 
 static void generate(struct pw_server *s, struct hs *h)
@@ -148,7 +148,7 @@
 	pw_field(h, "Kv-From", copy, sizeof copy);
 	if (*copy) {
 		s->copies++;
-		if (s->copy_status || s->copy_refusals-- > 0 || !pw_run_copied(copy)) {
+		if (s->copy_status || s->copy_refusals-- > 0 || !pw_run_by_copy(copy)) {
 			pw_server_answer(s, h, 503, "X-Not-Executed: 1\r\n", "");
 			return;
 		}
@@ -156,8 +156,8 @@
 	pw_run_begin(s, h, copy);
 }
 
-/* Another incarnation was at its address. */
-static int meant_for_another(const struct pw_server *s, struct hs *h)
+/* Whether the request is addressed to another server, which was at this address before. */
+static int targets_other_instance(const struct pw_server *s, struct hs *h)
 {
 	char expect[64];
 
@@ -165,15 +165,15 @@
 	return *expect && strcmp(expect, s->id) != 0;
 }
 
-static GHashTable *arrived; /* ids of requests that reached a server */
-static int repeats;
+static GHashTable *arrived; /* ids of requests that have reached a server */
+static int retries;
 
-int pw_repeats(void)
+int pw_retries(void)
 {
-	return repeats;
+	return retries;
 }
 
-static void count_repeat(struct hs *h)
+static void count_retry(struct hs *h)
 {
 	char id[64], copy[96];
 
@@ -181,7 +181,7 @@
 	pw_field(h, "X-Request-Id", id, sizeof id);
 	if (copy[0]) return;
 	if (!arrived) arrived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	repeats += !g_hash_table_add(arrived, g_strdup(id));
+	retries += !g_hash_table_add(arrived, g_strdup(id));
 }
 
 static void on_request(struct hs *h)
@@ -193,15 +193,15 @@
 
 	g_array_append_val(s->arrived_us, now);
 	if (!strcmp(t, "/-/kv-move")) {
-		order(s, h);
+		on_move_order(s, h);
 		return;
 	}
 	if (!strcmp(t, "/health")) {
-		check(s, h);
+		answer_health_check(s, h);
 		return;
 	}
 	if (!strcmp(t, "/-/report")) {
-		report(s, h);
+		answer_report(s, h);
 		return;
 	}
 	if (g_str_has_prefix(t, "/-/kv-handle/")) {
@@ -210,13 +210,13 @@
 		return;
 	}
 	s->arrivals++;
-	count_repeat(h);
-	keep_raw(s, h);
-	if (meant_for_another(s, h))
+	count_retry(h);
+	save_head(s, h);
+	if (targets_other_instance(s, h))
 		pw_server_answer(s, h, 421, "X-Instance-Id: other\r\n", "");
 	else if (s->mode == PW_FULL)
 		pw_server_answer(s, h, 503, "X-Not-Executed: 1\r\n", "");
-	else if (s->mode == PW_STRANGER)
+	else if (s->mode == PW_OTHER_INCARNATION)
 		pw_server_answer(s, h, 421, "X-Instance-Id: other\r\n", "");
 	else
 		generate(s, h);
@@ -228,7 +228,7 @@
 
 	if (!r) return;
 	r->cancelled = 1;
-	pw_run_over(r);
+	pw_run_finish(r);
 }
 
 struct pw_server *pw_server_add(const char *service, int engine)
@@ -287,8 +287,8 @@
 	char key[96], value[512], born[48] = "";
 
 	g_snprintf(key, sizeof key, "servers/%s", s->id);
-	if (s->born_ms)
-		g_snprintf(born, sizeof born, ",\"born\":%" G_GINT64_FORMAT, s->born_ms);
+	if (s->incarnation_ms)
+		g_snprintf(born, sizeof born, ",\"born\":%" G_GINT64_FORMAT, s->incarnation_ms);
 	g_snprintf(value, sizeof value,
 		   "{\"service\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"version\":\"%s\","
 		   "\"slots\":%d,\"state\":\"%s\",\"coldRemainingMs\":%d,\"sequence\":1%s}",
@@ -319,27 +319,27 @@
 	if (hs_listen(&s->listener, &at)) abort();
 }
 
-void pw_server_die(struct pw_server *s)
+void pw_server_crash(struct pw_server *s)
 {
 	hs_stop(&s->listener);
 	while (s->listener.conns->len) {
 		struct hs *h = g_ptr_array_index(s->listener.conns, 0);
 
-		if (h->user) pw_run_over(h->user);
+		if (h->user) pw_run_finish(h->user);
 		hs_abort(h);
 	}
 }
 
-int pw_server_deaf(struct pw_server *s)
+int pw_server_unreachable(struct pw_server *s)
 {
 	struct sockaddr_in at;
 	int i, on = 1, fd = socket(AF_INET, SOCK_STREAM, 0);
 
-	pw_server_die(s);
+	pw_server_crash(s);
 	hostport_parse(s->address, &at);
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
 	if (bind(fd, (struct sockaddr *)&at, sizeof at) || listen(fd, 0)) abort();
-	/* A full queue of connections that nobody accepts; they end with the test's process. */
+	/* Fills the accept queue. The connections close when the test process ends. */
 	for (i = 0; i < 4; i++) {
 		int c = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
 
@@ -361,13 +361,13 @@
 	uint32_t i;
 
 	for (i = 0; servers && i < servers->len; i++)
-		pw_server_die(g_ptr_array_index(servers, i));
-	pw_run(20); /* their connections are freed between rounds of the loop */
+		pw_server_crash(g_ptr_array_index(servers, i));
+	pw_run(20); /* ev_free_later frees connections between rounds of the loop */
 	for (i = 0; servers && i < servers->len; i++)
 		free_server(g_ptr_array_index(servers, i));
 	if (servers) g_ptr_array_set_size(servers, 0);
 	for (i = 0; pw_runs && i < pw_runs->len; i++) g_free(g_ptr_array_index(pw_runs, i));
 	if (pw_runs) g_ptr_array_set_size(pw_runs, 0);
 	if (arrived) g_hash_table_remove_all(arrived);
-	repeats = 0;
+	retries = 0;
 }
--- a/test/pw_store.c
+++ b/test/pw_store.c
@@ -1,15 +1,15 @@
-/* The small platform's key-value service, with faults the test chose. */
+/* The test platform's key-value store, with faults set by the test. */
 #include "pf_json.h"
 #include "pw.h"
 #include <stdlib.h>
 #include <string.h>
 
 struct entry {
-	char *value; /* base64; NULL: gone */
+	char *value; /* base64; NULL: removed */
 	uint64_t revision, made, lease;
 };
 
-struct waiting {
+struct watcher {
 	struct hs *h;
 	char prefix[256];
 	uint64_t after;
@@ -19,8 +19,8 @@
 struct pw_store pw_store;
 static struct hs_listener listener, second;
 static GHashTable *entries;
-static GPtrArray *waiters;
-static uint64_t forgotten, leases;
+static GPtrArray *watchers;
+static uint64_t compacted, leases;
 
 static void json_item(GString *out, const char *key, const struct entry *e)
 {
@@ -35,7 +35,7 @@
 		g_string_append(out, ",\"gone\":true}");
 }
 
-static int json_items(GString *out, const char *prefix, uint64_t after, int gone_too)
+static int json_items(GString *out, const char *prefix, uint64_t after, int with_removed)
 {
 	GHashTableIter it;
 	gpointer key, e;
@@ -46,25 +46,25 @@
 		const struct entry *x = e;
 
 		if (!g_str_has_prefix(key, prefix) || x->revision <= after) continue;
-		if (!x->value && !gone_too) continue;
+		if (!x->value && !with_removed) continue;
 		if (n++) g_string_append_c(out, ',');
 		json_item(out, key, x);
 	}
 	return n;
 }
 
-/* An answer that is sent in parts. */
-struct slow {
+/* An answer that is sent in parts, slow_bytes per 100 ms. */
+struct slow_answer {
 	struct ev_timer timer;
-	struct hs *h; /* NULL: it left */
+	struct hs *h; /* NULL: the client disconnected */
 	GString *out;
 	size_t sent;
 };
-static GPtrArray *slows;
+static GPtrArray *slow_answers;
 
 static void on_slow(struct ev_timer *t)
 {
-	struct slow *s = (struct slow *)t;
+	struct slow_answer *s = (struct slow_answer *)t;
 	size_t n = MIN(s->out->len - s->sent, (size_t)MAX(pw_store.slow_bytes, 1));
 
 	if (s->h) hs_write(s->h, s->out->str + s->sent, n);
@@ -74,17 +74,17 @@
 		return;
 	}
 	if (s->h) hs_finish(s->h);
-	g_ptr_array_remove(slows, s);
+	g_ptr_array_remove(slow_answers, s);
 	g_string_free(s->out, TRUE);
 	ev_free_later(s);
 }
 
 static void answer_slowly(struct hs *h, int status, const char *json)
 {
-	struct slow *s = g_new0(struct slow, 1);
+	struct slow_answer *s = g_new0(struct slow_answer, 1);
 
-	if (!slows) slows = g_ptr_array_new();
-	g_ptr_array_add(slows, s);
+	if (!slow_answers) slow_answers = g_ptr_array_new();
+	g_ptr_array_add(slow_answers, s);
 	pw_store.slow_answers++;
 	s->h = h;
 	s->out = g_string_new(NULL);
@@ -109,16 +109,16 @@
 	hs_answer(h, status, "Content-Type: application/json\r\n", json, strlen(json));
 }
 
-static void drop_waiter(struct waiting *w)
+static void remove_watcher(struct watcher *w)
 {
 	ev_stop(&w->timer);
 	w->h->user = NULL;
-	g_ptr_array_remove_fast(waiters, w);
+	g_ptr_array_remove_fast(watchers, w);
 	ev_free_later(w);
 }
 
-/* 1 when there was something to tell. */
-static int tell(struct waiting *w, int even_nothing)
+/* Answers a watch if there are changes, or if allow_empty. Returns 1 if there were changes. */
+static int send_events(struct watcher *w, int allow_empty)
 {
 	GString *out = g_string_new("{\"events\":[");
 	int n = pw_store.watches_silent ? 0 : json_items(out, w->prefix, w->after, 1);
@@ -126,8 +126,8 @@
 
 	g_string_append_printf(out, "],\"at\":%" G_GUINT64_FORMAT "}",
 			       pw_store.watches_silent ? w->after : pw_store.revision);
-	if (n || even_nothing) {
-		drop_waiter(w);
+	if (n || allow_empty) {
+		remove_watcher(w);
 		answer(h, 200, out->str);
 	}
 	g_string_free(out, TRUE);
@@ -136,36 +136,36 @@
 
 static void on_wait_over(struct ev_timer *t)
 {
-	tell((struct waiting *)((char *)t - offsetof(struct waiting, timer)), 1);
+	send_events((struct watcher *)((char *)t - offsetof(struct watcher, timer)), 1);
 }
 
 static void watch(struct hs *h, const char *target)
 {
-	struct waiting *w;
+	struct watcher *w;
 	char after[32] = "0", wait[32] = "0";
 
 	pw_store.watches++;
 	pw_query(target, "afterRevision", after, sizeof after);
 	pw_query(target, "waitMs", wait, sizeof wait);
-	if (g_ascii_strtoull(after, NULL, 10) < forgotten) {
+	if (g_ascii_strtoull(after, NULL, 10) < compacted) {
 		answer(h, 410, "{}");
 		return;
 	}
-	w = g_new0(struct waiting, 1);
+	w = g_new0(struct watcher, 1);
 	w->h = h;
 	h->user = w;
 	w->after = g_ascii_strtoull(after, NULL, 10);
 	pw_query(target, "pathPrefix", w->prefix, sizeof w->prefix);
 	w->timer.fire = on_wait_over;
-	g_ptr_array_add(waiters, w);
-	if (!tell(w, 0)) ev_in(&w->timer, atoi(wait) * 1000);
+	g_ptr_array_add(watchers, w);
+	if (!send_events(w, 0)) ev_in(&w->timer, atoi(wait) * 1000);
 }
 
-static void tell_all(void)
+static void notify_watchers(void)
 {
 	uint32_t i;
 
-	for (i = waiters->len; i-- > 0;) tell(g_ptr_array_index(waiters, i), 0);
+	for (i = watchers->len; i-- > 0;) send_events(g_ptr_array_index(watchers, i), 0);
 }
 
 static void set(const char *key, char *value, uint64_t lease)
@@ -185,13 +185,13 @@
 void pw_store_put(const char *key, const char *value)
 {
 	set(key, g_base64_encode((const guchar *)value, strlen(value)), 0);
-	tell_all();
+	notify_watchers();
 }
 
 void pw_store_remove(const char *key)
 {
 	set(key, NULL, 0);
-	tell_all();
+	notify_watchers();
 }
 
 void pw_store_compact(void)
@@ -199,14 +199,14 @@
 	GHashTableIter it;
 	gpointer e;
 
-	forgotten = ++pw_store.revision;
+	compacted = ++pw_store.revision;
 	g_hash_table_iter_init(&it, entries);
 	while (g_hash_table_iter_next(&it, NULL, &e))
 		if (!((struct entry *)e)->value) g_hash_table_iter_remove(&it);
-	while (waiters->len) {
-		struct hs *h = ((struct waiting *)g_ptr_array_index(waiters, 0))->h;
+	while (watchers->len) {
+		struct hs *h = ((struct watcher *)g_ptr_array_index(watchers, 0))->h;
 
-		drop_waiter(g_ptr_array_index(waiters, 0));
+		remove_watcher(g_ptr_array_index(watchers, 0));
 		hs_abort(h);
 	}
 }
@@ -215,11 +215,11 @@
 {
 	uint32_t i;
 
-	for (i = waiters->len; i-- > 0;) {
-		struct hs *h = ((struct waiting *)g_ptr_array_index(waiters, i))->h;
+	for (i = watchers->len; i-- > 0;) {
+		struct hs *h = ((struct watcher *)g_ptr_array_index(watchers, i))->h;
 
 		if (h->listener != &second) continue;
-		drop_waiter(g_ptr_array_index(waiters, i));
+		remove_watcher(g_ptr_array_index(watchers, i));
 		hs_abort(h);
 	}
 }
@@ -261,7 +261,7 @@
 
 int pw_store_waiting(void)
 {
-	return (int)waiters->len;
+	return (int)watchers->len;
 }
 
 static void get(struct hs *h, const char *target)
@@ -287,7 +287,7 @@
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* The keys that begin so, in order. Free with g_ptr_array_unref. */
+/* The existing keys with this prefix, sorted. Free with g_ptr_array_unref. */
 static GPtrArray *keys_of(const char *prefix)
 {
 	GPtrArray *keys = g_ptr_array_new();
@@ -302,7 +302,7 @@
 	return keys;
 }
 
-/* 1 when more follow. */
+/* Returns 1 if more items follow. */
 static int json_page(GString *out, const char *prefix, const char *after)
 {
 	GPtrArray *keys = keys_of(prefix);
@@ -394,7 +394,7 @@
 	g_snprintf(text, sizeof text, "{\"revision\":%" G_GUINT64_FORMAT "}",
 		   pw_store.revision);
 	answer(h, 200, text);
-	if (n) tell_all();
+	if (n) notify_watchers();
 }
 
 static void lease(struct hs *h)
@@ -406,7 +406,7 @@
 	answer(h, 200, text);
 }
 
-static int turned_away(struct hs *h)
+static int apply_fault(struct hs *h)
 {
 	switch (h->listener == &second ? pw_store.second_mode : pw_store.mode) {
 	case PW_STORE_OK:
@@ -423,7 +423,7 @@
 	const char *t = hp_target(&h->hp.head);
 
 	pw_store.calls++;
-	if (turned_away(h)) return;
+	if (apply_fault(h)) return;
 	if (g_str_has_prefix(t, "/-/kv-key"))
 		get(h, t);
 	else if (g_str_has_prefix(t, "/-/kv-range"))
@@ -442,12 +442,12 @@
 {
 	uint32_t i;
 
-	for (i = 0; slows && i < slows->len; i++) {
-		struct slow *s = g_ptr_array_index(slows, i);
+	for (i = 0; slow_answers && i < slow_answers->len; i++) {
+		struct slow_answer *s = g_ptr_array_index(slow_answers, i);
 
 		if (s->h == h) s->h = NULL;
 	}
-	if (h->user) drop_waiter(h->user);
+	if (h->user) remove_watcher(h->user);
 }
 
 static void listen_at(struct hs_listener *l, const char *ip)
@@ -470,7 +470,7 @@
 void pw_store_start(const char *ip)
 {
 	entries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_entry);
-	waiters = g_ptr_array_new();
+	watchers = g_ptr_array_new();
 	memset(&pw_store, 0, sizeof pw_store);
 	listen_at(&listener, ip);
 	listen_at(&second, pw_second_ip());
--- a/test/soak.c
+++ b/test/soak.c
@@ -87,7 +87,7 @@
 
 static int is_ready(const struct soak_entry *e)
 {
-	return pw_question(e->pw->ip, PW_READY, "/-/readiness", NULL) == 200;
+	return pw_get(e->pw->ip, PW_READY, "/-/readiness", NULL) == 200;
 }
 
 /* 1, or 0 when the request was not served. */
--- a/test/soak.h
+++ b/test/soak.h
@@ -87,7 +87,7 @@
 struct soak_crasher {
 	char body[32];
 	int64_t from_us, next_us; /* when it began; its next try */
-	int64_t third_us;         /* when the third server ended under it; 0: it did not */
+	int64_t third_crash_us;   /* when the third server ended under it; 0: it did not */
 	int over;
 };
 
--- a/test/soak_caller.c
+++ b/test/soak_caller.c
@@ -56,7 +56,7 @@
 {
 	if (now < k->sent_us + k->limit_ms * 1000 + PATIENCE_US) return;
 	k->gave_up = 1;
-	pw_call_leave(k->c);
+	pw_call_cancel(k->c);
 	k->c->ended_us = now;
 }
 
@@ -67,7 +67,7 @@
 
 	if (k && !k->c->ended && k->leaves_us && now >= k->leaves_us) {
 		k->left = 1;
-		pw_call_leave(k->c);
+		pw_call_cancel(k->c);
 		k->c->ended_us = now;
 	}
 	if (k && !k->c->ended) give_up(k, now);
--- a/test/soak_crash.c
+++ b/test/soak_crash.c
@@ -22,7 +22,7 @@
 {
 	int i;
 
-	if (pw_crash.third_us) last(running)->third_us = pw_crash.third_us;
+	if (pw_crash.third_crash_us) last(running)->third_crash_us = pw_crash.third_crash_us;
 	for (i = 0; i < running->nservers; i++)
 		if (running->server[i].pw == pw) soak_end_server(running, &running->server[i]);
 }
@@ -65,15 +65,15 @@
 
 static int check(const struct soak *s, const struct soak_crasher *c)
 {
-	int64_t most = c->third_us + CONTACT_US + SLACK_US;
+	int64_t most = c->third_crash_us + CONTACT_US + SLACK_US;
 	uint32_t i;
 	int n = 0;
 
-	for (i = 0; i < pw_runs->len && c->third_us; i++) {
+	for (i = 0; i < pw_runs->len && c->third_crash_us; i++) {
 		const struct pw_run *r = g_ptr_array_index(pw_runs, i);
 
 		if (strcmp(r->body_sum, c->body) || r->began_us <= most) continue;
-		n += soak_was_calm(s, c->third_us, r->began_us);
+		n += soak_was_calm(s, c->third_crash_us, r->began_us);
 	}
 	if (n > RUNS_MOST)
 		printf("  BROKEN a request that ended three servers came to %d more\n", n);
--- a/test/soak_fault.c
+++ b/test/soak_fault.c
@@ -146,7 +146,7 @@
 	}
 	if (kind == SOAK_KILL && e->down && !e->pw->pid) {
 		e->down = 0;
-		pw_entry_again(e->pw);
+		pw_entry_restart(e->pw);
 	}
 }
 
@@ -187,7 +187,7 @@
 			printf("  entry %d ended by itself, status %d\n", i, status);
 		}
 		e->stopping = 0;
-		pw_entry_again(e->pw);
+		pw_entry_restart(e->pw);
 	}
 }
 
--- a/test/soak_notice.c
+++ b/test/soak_notice.c
@@ -30,13 +30,13 @@
 	v->notice_us = clock_us();
 	v->notice = soak_notice_of(f);
 	switch (v->notice) {
-	case SOAK_SAYS_LIMIT: v->pw->says = "Server-Limit: 2\r\n"; return;
+	case SOAK_SAYS_LIMIT: v->pw->extra_fields = "Server-Limit: 2\r\n"; return;
 	case SOAK_SAYS_REST:
-		v->pw->says = "Retry-After: 2\r\n";
+		v->pw->extra_fields = "Retry-After: 2\r\n";
 		v->pw->mode = PW_FULL;
 		return;
 	case SOAK_SAYS_LEAVES:
-		v->pw->says = "Server-Leaving: 1\r\n";
+		v->pw->extra_fields = "Server-Leaving: 1\r\n";
 		v->leaving = 1;
 		v->unlist_us = v->notice_us + SERVE_ON_US;
 		v->die_us = v->unlist_us;
@@ -67,11 +67,11 @@
 
 	if (!links_were_sound(s, v->notice_us)) return;
 	if (v->notice == SOAK_SAYS_LIMIT) {
-		got = pw_server_most(v->pw, v->notice_us + LIMIT_FROM_US, LIMIT_MS);
+		got = pw_server_max_arrivals(v->pw, v->notice_us + LIMIT_FROM_US, LIMIT_MS);
 		most = most_in_limit();
 	} else {
-		got = pw_server_most(v->pw, v->notice_us + REST_FROM_MS * 1000,
-				     REST_MS - REST_FROM_MS);
+		got = pw_server_max_arrivals(v->pw, v->notice_us + REST_FROM_MS * 1000,
+					     REST_MS - REST_FROM_MS);
 		most = REST_EACH * SOAK_ENTRIES;
 	}
 	if (got <= most) return;
@@ -90,7 +90,7 @@
 		if (v->notice == SOAK_SAYS_NOTHING || v->leaving) continue;
 		check(s, v);
 		v->notice = SOAK_SAYS_NOTHING;
-		v->pw->says = NULL;
+		v->pw->extra_fields = NULL;
 		v->pw->mode = PW_OK;
 	}
 }
--- a/test/soak_server.c
+++ b/test/soak_server.c
@@ -53,7 +53,7 @@
 static void die(struct soak_server *v)
 {
 	v->dead = 1;
-	pw_server_die(v->pw);
+	pw_server_crash(v->pw);
 	proxy_close(v->link);
 }
 
@@ -114,7 +114,7 @@
 	proxy_free(v->link);
 	v->link = proxy_new(&at, &to);
 	g_strlcpy(v->pw->address, address, sizeof v->pw->address);
-	v->pw->born_ms = clock_wall_ms();
+	v->pw->incarnation_ms = clock_wall_ms();
 	v->pw->mode = PW_OK;
 	v->dead = v->between = 0;
 	pw_server_list(v->pw, "ready");
--- a/test/test_canary.c
+++ b/test/test_canary.c
@@ -72,7 +72,7 @@
 	int64_t until = clock_us() + ms * 1000LL;
 
 	while (clock_us() < until) {
-		g_ptr_array_add(calls, pw_ask(e[sent++ % n], "GET", "/safe/", 4000));
+		g_ptr_array_add(calls, pw_request(e[sent++ % n], "GET", "/safe/", 4000));
 		pw_run(CALL_EACH_MS);
 	}
 }
@@ -205,7 +205,7 @@
 	for (i = 0; i < 2; i++) pw_entry_kill(e[i], SIGKILL);
 	for (i = 0; i < 2; i++) pw_entry_wait(e[i], 500);
 	new[0]->arrivals = new[1]->arrivals = new[2]->arrivals = 0;
-	for (i = 0; i < 2; i++) pw_entry_again(e[i]);
+	for (i = 0; i < 2; i++) pw_entry_restart(e[i]);
 	for (i = 0; i < 2; i++) CU_ASSERT(pw_entry_until_ready(e[i]));
 	load(e, 2, 1500);
 	CU_ASSERT(state_is("app", "rolled_back"));
@@ -313,7 +313,7 @@
 /* One that leaves after its first events. */
 static struct pw_call *ask_and_run(struct pw_entry *e, int ms)
 {
-	struct pw_call *c = pw_ask(e, "POST", "/sum/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/sum/", 9000);
 
 	pw_run(ms);
 	return c;
@@ -334,19 +334,19 @@
 	first = add("llm", 1, "v1");
 	first->events = 700; /* of 10 ms each: longer than the rollout */
 	e = pw_entry_ready();
-	for (i = 0; i < 4; i++) c[i] = pw_ask(e, "POST", "/chat/", 20000);
+	for (i = 0; i < 4; i++) c[i] = pw_request(e, "POST", "/chat/", 20000);
 	pw_run(300);
 	order("llm", "v2");
 	for (i = 0; i < 2; i++) {
 		engine[i] = add("llm", 1, "v2");
 		engine[i]->events = 700;
 	}
-	for (i = 0; i < 100; i++) pw_call_leave(ask_and_run(e, FOR_S * 10));
+	for (i = 0; i < 100; i++) pw_call_cancel(ask_and_run(e, FOR_S * 10));
 	CU_ASSERT(state_is("llm", "completed"));
-	pw_server_die(first);
+	pw_server_crash(first);
 	for (i = 0; i < 4; i++) {
 		CU_ASSERT(pw_call_wait(c[i], 9000));
-		CU_ASSERT(pw_stream_whole(c[i], 700));
+		CU_ASSERT(pw_stream_complete(c[i], 700));
 	}
 	pw_end();
 }
@@ -370,12 +370,12 @@
 	until = clock_us() + FOR_S * 1000000LL;
 	while (clock_us() < until) {
 		load(e, 1, 2 * CALL_EACH_MS);
-		pw_ask(e[0], "POST", "/sum/", 3000);
+		pw_request(e[0], "POST", "/sum/", 3000);
 	}
 	CU_ASSERT(state_is("app", "rolled_back"));
 	CU_ASSERT(state_is("llm", "completed"));
 	llm[0]->arrivals = 0;
-	pw_call_wait(pw_ask(e[0], "POST", "/sum/", 3000), 3000);
+	pw_call_wait(pw_request(e[0], "POST", "/sum/", 3000), 3000);
 	CU_ASSERT_EQUAL(llm[0]->arrivals, 0);
 	end();
 }
--- a/test/test_cold.c
+++ b/test/test_cold.c
@@ -147,7 +147,7 @@
 
 	s->arrivals = 0;
 	for (i = 0; i < CROWD; i++) {
-		pw_ask(e[i % 3], "GET", "/safe/", 4000);
+		pw_request(e[i % 3], "GET", "/safe/", 4000);
 		pw_run(CROWD_MS);
 	}
 	i = s->arrivals;
@@ -199,9 +199,9 @@
 
 	pw_run(2500); /* new, and perhaps cold, until then */
 	pw_store.mode = PW_STORE_SILENT;
-	s->says = "X-Cold-Start-Ms: 2000\r\n";
+	s->extra_fields = "X-Cold-Start-Ms: 2000\r\n";
 	arrivals_in_a_crowd(e, s);
-	CU_ASSERT(pw_server_most(s, clock_us() - 900000, 1000) <= 35);
+	CU_ASSERT(pw_server_max_arrivals(s, clock_us() - 900000, 1000) <= 35);
 	pw_end();
 }
 
--- a/test/test_copies.c
+++ b/test/test_copies.c
@@ -60,7 +60,7 @@
 		w.p[i]->wants = 1;
 	}
 	CU_ASSERT(pw_until(all_have_it, &w, 8000));
-	CU_ASSERT_EQUAL(pw_peer_at_once, 1);
+	CU_ASSERT_EQUAL(pw_peer_max_copies, 1);
 	pw_peers_end();
 	pw_end();
 }
@@ -116,7 +116,7 @@
 	for (i = 0; i < 3; i++) {
 		p[i] = pw_peer_new(e, pw_store.revision + 1);
 		p[i]->pace_bytes = (int)newer->len / 12;
-		pw_peer_holds(p[i], newer->str);
+		pw_peer_serve_config(p[i], newer->str);
 	}
 	CU_ASSERT(version_comes(e, 2, 6000));
 	for (i = 0; i < 3; i++) asks += p[i]->asks;
@@ -149,8 +149,8 @@
 	slow = pw_peer_new(e, 0);
 	slow->read_pause_ms = 5600;
 	slow->wants = 1;
-	for (i = 0; i < 40 && !pw_peer_at_once; i++) pw_run(50);
-	CU_ASSERT_EQUAL(pw_peer_at_once, 1);
+	for (i = 0; i < 40 && !pw_peer_max_copies; i++) pw_run(50);
+	CU_ASSERT_EQUAL(pw_peer_max_copies, 1);
 	slow->wants = 0; /* it does not ask again */
 	pw_run(6500);
 	next = pw_peer_new(e, 0);
@@ -183,7 +183,7 @@
 		   "{\"service\":\"app\",\"address\":\"%s\",\"zone\":\"a\",\"version\":\"v1\","
 		   "\"slots\":6,\"state\":\"draining\",\"coldRemainingMs\":0,\"sequence\":1}",
 		   s->address);
-	pw_peer_tells(p, conf, known, key, known + 2, value);
+	pw_peer_send_update(p, conf, known, key, known + 2, value);
 	pw_run(1000);
 	taken = pw_log_has(e, "\"leaving\"");
 	pw_peers_end();
@@ -213,7 +213,7 @@
 	newer = second_version();
 	p = pw_peer_new(e, pw_store.revision + 1);
 	p->pace_bytes = (int)newer->len / 24;
-	pw_peer_holds(p, newer->str);
+	pw_peer_serve_config(p, newer->str);
 	for (i = 0; i < 30 && !p->asks; i++) pw_run(50);
 	CU_ASSERT_EQUAL(p->asks, 1);
 	ev_stop(&p->beat);
@@ -241,7 +241,7 @@
 	pw_store_put("op/config", newer->str);
 	for (i = 0; i < 60 && !pw_store.slow_answers; i++) pw_run(50);
 	p = pw_peer_new(e, pw_store.revision);
-	pw_peer_holds(p, newer->str);
+	pw_peer_serve_config(p, newer->str);
 	CU_ASSERT(version_comes(e, 2, 2500));
 	g_string_free(newer, TRUE);
 	pw_peers_end();
@@ -264,7 +264,7 @@
 	e = pw_entry_start();
 	p = pw_peer_new(e, pw_store.revision);
 	p->pace_bytes = (int)text->len / 12;
-	pw_peer_holds(p, text->str);
+	pw_peer_serve_config(p, text->str);
 	CU_ASSERT(version_comes(e, 2, 6000));
 	CU_ASSERT_EQUAL(p->asks, 0);
 	g_string_free(text, TRUE);
@@ -285,9 +285,9 @@
 	newer = second_version();
 	holder = pw_peer_new(e, pw_store.revision + 1);
 	ev_stop(&holder->beat);
-	pw_peer_holds(holder, newer->str);
+	pw_peer_serve_config(holder, newer->str);
 	heard = pw_peer_new(e, pw_store.revision + 1);
-	pw_peer_names(heard, holder);
+	pw_peer_name_holder(heard, holder);
 	CU_ASSERT(version_comes(e, 2, 2000));
 	CU_ASSERT_EQUAL(heard->asks, 1);
 	CU_ASSERT_EQUAL(holder->asks, 1);
--- a/test/test_crash.c
+++ b/test/test_crash.c
@@ -128,8 +128,8 @@
 
 	day_begin(&d, service, engine);
 	play(&d, method, path, 7200);
-	CU_ASSERT(pw_crash.ends >= 3);
-	CU_ASSERT(pw_crash.ends <= 6);
+	CU_ASSERT(pw_crash.crashes >= 3);
+	CU_ASSERT(pw_crash.crashes <= 6);
 	CU_ASSERT_EQUAL(pw_crash_runs_after(CONTACT_MS), 0);
 	CU_ASSERT(served(d.innocent) * 100 >= 96 * (int)d.innocent->len);
 	check_final(last_of(d.guilty));
@@ -161,8 +161,8 @@
 	pw_crash.after_ms = 150;
 	for (at = 0; at < 4500; at += 100)
 		pw_run((ask(d.e[at / 100 % ENTRIES], "POST", "/sum/", "k1", GUILTY), 100));
-	CU_ASSERT(pw_crash.ends >= 3);
-	CU_ASSERT(pw_crash.ends <= 6);
+	CU_ASSERT(pw_crash.crashes >= 3);
+	CU_ASSERT(pw_crash.crashes <= 6);
 	CU_ASSERT_EQUAL(pw_crash_runs_after(500), 0);
 	day_end(&d);
 }
@@ -173,7 +173,7 @@
 	struct pw_call *c = NULL;
 	int i;
 
-	for (i = 0; i < 9 && pw_crash.ends < 3; i++) {
+	for (i = 0; i < 9 && pw_crash.crashes < 3; i++) {
 		c = ask(d->e[i % ENTRIES], "POST", "/safe/", "k1", GUILTY);
 		pw_call_wait(c, 2000);
 	}
@@ -218,13 +218,13 @@
 
 	day_begin(&d, "app", 0);
 	blame(&d);
-	ends = pw_crash.ends;
+	ends = pw_crash.crashes;
 	pw_store.mode = PW_STORE_SILENT; /* it has nothing to do with the store */
 	for (i = 0; i < 2; i++) {
 		pw_entry_kill(d.e[i], SIGKILL);
 		pw_entry_wait(d.e[i], 1000);
 		pw_store.mode = PW_STORE_OK;
-		pw_entry_again(d.e[i]);
+		pw_entry_restart(d.e[i]);
 		do {
 			pw_run(5);
 			c = ask(d.e[i], "POST", "/safe/", "k1", GUILTY);
@@ -232,7 +232,7 @@
 		} while (c->err || c->status == 503);
 		check_final_within(c, 400); /* it waited for word of others */
 	}
-	CU_ASSERT_EQUAL(pw_crash.ends, ends);
+	CU_ASSERT_EQUAL(pw_crash.crashes, ends);
 	day_end(&d);
 }
 
@@ -245,20 +245,20 @@
 
 	day_begin(&d, "app", 0);
 	pw_store.mode = PW_STORE_DOWN;
-	for (i = 0; i < 6 && pw_crash.ends < 3; i++) {
+	for (i = 0; i < 6 && pw_crash.crashes < 3; i++) {
 		c = ask(d.e[0], "POST", "/safe/", "k1", GUILTY);
 		pw_call_wait(c, 2000);
 	}
 	pw_run(100);
 	pw_entry_kill(d.e[0], SIGKILL);
 	pw_run(500);
-	ends = pw_crash.ends;
+	ends = pw_crash.crashes;
 	for (i = 1; i < ENTRIES; i++) {
 		c = ask(d.e[i], "POST", "/safe/", "k1", GUILTY);
 		pw_call_wait(c, 2000);
 		check_final(c);
 	}
-	CU_ASSERT_EQUAL(pw_crash.ends, ends);
+	CU_ASSERT_EQUAL(pw_crash.crashes, ends);
 	pw_store.mode = PW_STORE_OK;
 	day_end(&d);
 }
@@ -280,7 +280,7 @@
 	CU_ASSERT(pw_metric(d.e[0], "saddlehead_refused_total{reason=\"crashes_engines\"}") >=
 		  1);
 	CU_ASSERT(pw_log_has(d.e[0], "request_blocked"));
-	CU_ASSERT_EQUAL(pw_question(d.e[1]->ip, PW_METRICS, "/blocked", out), 200);
+	CU_ASSERT_EQUAL(pw_get(d.e[1]->ip, PW_METRICS, "/blocked", out), 200);
 	at = strstr(out->str, "fingerprint\":\"");
 	CU_ASSERT_PTR_NOT_NULL_FATAL(at);
 	g_strlcpy(print, at + strlen("fingerprint\":\""), sizeof print);
@@ -335,11 +335,11 @@
 	for (i = 0; i < WIDE; i++) {
 		p[i] = pw_peer_new(e, 0);
 		p[i]->link_mbps = 100;
-		p[i]->takes_callers = p[i]->store_up = 1;
+		p[i]->serving_callers = p[i]->store_up = 1;
 	}
 	pw_run(2500);
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_active"), 0);
-	pw_peer_tells_verdict(p[0], &fp);
+	pw_peer_send_verdict(p[0], &fp);
 	pw_run(50);
 	c = ask(e, "POST", "/safe/", "k1", GUILTY);
 	pw_call_wait(c, 2000);
@@ -357,7 +357,7 @@
 
 	day_begin(&d, "app", 0);
 	p = pw_peer_new(d.e[0], 0);
-	p->takes_callers = 1;
+	p->serving_callers = 1;
 	pw_run(600);
 	CU_ASSERT_EQUAL(p->verdicts, 0);
 	blame(&d);
@@ -379,10 +379,10 @@
 
 	for (i = 0; i < 2; i++) {
 		p[i] = pw_peer_new(e, 0);
-		p[i]->takes_callers = 1;
+		p[i]->serving_callers = 1;
 	}
 	pw_run(600);
-	for (i = 0; i < 2; i++) pw_peer_tells_end(p[i], "one", &fp, 20);
+	for (i = 0; i < 2; i++) pw_peer_report_crash(p[i], "one", &fp, 20);
 	pw_run(400);
 	c = ask(e, "POST", "/safe/", "k1", GUILTY);
 	CU_ASSERT(pw_call_wait(c, 2000));
@@ -392,7 +392,7 @@
 		char name[16];
 
 		g_snprintf(name, sizeof name, "next %d", i);
-		pw_peer_tells_end(p[i % 2], name, &fp, 20);
+		pw_peer_report_crash(p[i % 2], name, &fp, 20);
 		pw_run(150);
 	}
 	pw_run(400);
@@ -413,13 +413,13 @@
 	struct pw_call *c;
 	int i;
 
-	p->takes_callers = 1;
+	p->serving_callers = 1;
 	pw_run(600);
 	for (i = 0; i < 2; i++) {
 		c = ask(e, "POST", "/safe/", "k1", GUILTY);
 		CU_ASSERT(pw_call_wait(c, 2000));
 		CU_ASSERT_EQUAL(c->status, 200);
-		if (!i) pw_peer_tells_verdict(p, &fp);
+		if (!i) pw_peer_send_verdict(p, &fp);
 		pw_run(50);
 	}
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_blocked"), 0);
@@ -437,11 +437,11 @@
 	struct pw_peer *p = pw_peer_new(e, 0);
 	char name[128];
 
-	p->takes_callers = 1;
+	p->serving_callers = 1;
 	pw_run(600);
 	memset(name, 'n', sizeof name - 1);
 	name[sizeof name - 1] = '\0';
-	pw_peer_tells_end(p, name, &fp, 20);
+	pw_peer_report_crash(p, name, &fp, 20);
 	CU_ASSERT(pw_log_has(e, "backend_ended"));
 	CU_ASSERT(!pw_log_has(e, "peer_frame_malformed"));
 	pw_peers_end();
--- a/test/test_drain.c
+++ b/test/test_drain.c
@@ -71,7 +71,7 @@
 	drain("b");
 	pw_run(HEARD_MS);
 	for (i = 0; i < 2; i++) s[i]->arrivals = 0;
-	c = pw_ask(e, "GET", "/safe/", 4000);
+	c = pw_request(e, "GET", "/safe/", 4000);
 	CU_ASSERT(pw_call_wait(c, 200));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT(atof(c->retry_after) > 0);
@@ -93,7 +93,7 @@
 	drain("b");
 	pw_run(HEARD_MS);
 	near->mode = PW_ERROR;
-	c = pw_ask(e, "GET", "/safe/", 4000);
+	c = pw_request(e, "GET", "/safe/", 4000);
 	CU_ASSERT(pw_call_wait(c, 1000));
 	CU_ASSERT_EQUAL(near->arrivals, 2);
 	CU_ASSERT_EQUAL(far->arrivals, 0);
@@ -112,7 +112,7 @@
 	far = pw_server_add_in("llm", 1, "b");
 	far->events = 400;
 	e = pw_entry_ready();
-	for (i = 0; i < 3; i++) c[i] = pw_ask(e, "POST", "/chat/", 9000);
+	for (i = 0; i < 3; i++) c[i] = pw_request(e, "POST", "/chat/", 9000);
 	pw_run(300);
 	near = pw_server_add("llm", 1);
 	near->events = 400;
@@ -123,7 +123,7 @@
 	CU_ASSERT(!pw_log_has(e, "backend_ejected")); /* they stopped as they were told */
 	for (i = 0; i < 3; i++) {
 		CU_ASSERT(pw_call_wait(c[i], 6000));
-		CU_ASSERT(pw_stream_whole(c[i], 400));
+		CU_ASSERT(pw_stream_complete(c[i], 400));
 		CU_ASSERT(c[i]->gap_us < 180000);
 		CU_ASSERT_EQUAL(pw_runs_of(c[i]->id), 2);
 		if (pw_runs_of(c[i]->id) != 2) continue;
@@ -145,17 +145,17 @@
 	with_copy = pw_server_add_in("llm", 1, "b");
 	engine->events = with_copy->events = 300;
 	e = pw_entry_ready();
-	for (i = 0; i < 6; i++) c[i] = pw_ask(e, "POST", "/chat/", 9000);
+	for (i = 0; i < 6; i++) c[i] = pw_request(e, "POST", "/chat/", 9000);
 	pw_run(600);
 	CU_ASSERT(engine->arrivals > 0);
 	engine->move_ms = 5000; /* what runs at the other one stays there meanwhile */
 	drain("b");
 	pw_run(50);
 	with_copy->copies = 0;
-	pw_server_die(engine);
+	pw_server_crash(engine);
 	pw_run(500);
 	CU_ASSERT_EQUAL(with_copy->copies, 0);
-	for (i = 0; i < 6; i++) pw_call_leave(c[i]);
+	for (i = 0; i < 6; i++) pw_call_cancel(c[i]);
 	pw_end();
 }
 
@@ -206,7 +206,7 @@
 	pw_entry_wait(e[1], 500);
 	pw_store.mode = PW_STORE_DOWN;
 	pw_run(100);
-	pw_entry_again(e[1]);
+	pw_entry_restart(e[1]);
 	pw_run(1500);
 	CU_ASSERT_EQUAL(arrivals_of_calls(far, &e[1], 1), 0);
 	pw_end();
@@ -295,7 +295,7 @@
 	far = pw_server_add_in("llm", 1, "b");
 	far->events = 900;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/chat/", 9000);
+	c = pw_request(e, "POST", "/chat/", 9000);
 	pw_run(300);
 	drain("b");
 	pw_run(HEARD_MS);
@@ -303,7 +303,7 @@
 	pw_run(3500);
 	CU_ASSERT_EQUAL(far->checks + far->reports, 0);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1); /* nowhere to go: it runs on */
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_store.mode = PW_STORE_OK;
 	pw_end();
 }
--- a/test/test_entry.c
+++ b/test/test_entry.c
@@ -44,7 +44,7 @@
 	ran = s->arrivals;
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 503);
 	CU_ASSERT_EQUAL(s->arrivals, ran);
-	CU_ASSERT_EQUAL(pw_question(e->ip, PW_READY, "/-/readiness", NULL), 503);
+	CU_ASSERT_EQUAL(pw_get(e->ip, PW_READY, "/-/readiness", NULL), 503);
 	pw_store.mode = PW_STORE_OK;
 	pw_run(2000);
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200);
@@ -71,7 +71,7 @@
 	pw_store.mode = PW_STORE_SILENT;
 	pw_run(2000);
 	s->arrivals = 0;
-	c = pw_ask(e, "GET", "/safe/", 3000);
+	c = pw_request(e, "GET", "/safe/", 3000);
 	pw_run(100);
 	kill(e->pid, SIGCONT);
 	CU_ASSERT(pw_call_wait(c, 2000));
@@ -175,7 +175,7 @@
 	pw_conf.extra_routes = 2000;
 	pw_conf_write();
 	pw_run(1000);
-	c = pw_ask(e, "GET", "/extra1999/x", 2000);
+	c = pw_request(e, "GET", "/extra1999/x", 2000);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
 	pw_end();
@@ -208,7 +208,7 @@
 	int i, before;
 
 	e = pw_init_with(s, 2);
-	s[0]->mode = PW_STRANGER;
+	s[0]->mode = PW_OTHER_INCARNATION;
 	s[1]->work_ms = 60; /* so that the stranger is asked */
 	for (i = 0; i < 4; i++) CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200);
 	before = s[0]->arrivals;
@@ -270,18 +270,18 @@
 	pw_server_add("llm", 1)->events = 100;
 	pw_server_add("app", 0);
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/chat/", 9000);
+	c = pw_request(e, "POST", "/chat/", 9000);
 	pw_run(200);
 	began = clock_us();
 	pw_entry_kill(e, SIGTERM);
 	pw_run(150);
-	CU_ASSERT_EQUAL(pw_question(e->ip, PW_READY, "/-/readiness", NULL), 503);
-	late = pw_ask(e, "POST", "/unsafe/", 2000);
+	CU_ASSERT_EQUAL(pw_get(e->ip, PW_READY, "/-/readiness", NULL), 503);
+	late = pw_request(e, "POST", "/unsafe/", 2000);
 	CU_ASSERT(pw_call_wait(late, 1000));
 	CU_ASSERT_EQUAL(late->status, 200);
 	CU_ASSERT_STRING_EQUAL(late->connection, "close");
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, 100));
+	CU_ASSERT(pw_stream_complete(c, 100));
 	status = pw_entry_wait(e, 3000);
 	CU_ASSERT(WIFEXITED(status) && WEXITSTATUS(status) == 0);
 	CU_ASSERT(clock_us() - began < 3000000);
@@ -301,12 +301,12 @@
 	e = pw_entry_ready();
 	pw_entry_kill(e, SIGTERM);
 	pw_run(2500);
-	c = pw_ask(e, "POST", "/chat/", 9000);
+	c = pw_request(e, "POST", "/chat/", 9000);
 	CU_ASSERT(pw_call_wait(c, 500));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT(g_ascii_strtod(c->retry_after, NULL) > 0);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 0);
-	c = pw_ask(e, "POST", "/unsafe/", 600);
+	c = pw_request(e, "POST", "/unsafe/", 600);
 	CU_ASSERT(pw_call_wait(c, 500));
 	CU_ASSERT_EQUAL(c->status, 200);
 	pw_end();
@@ -324,12 +324,12 @@
 	s->events = 60;
 	s->event_ms = 40;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/chat/", 9000);
+	c = pw_request(e, "POST", "/chat/", 9000);
 	CU_ASSERT(pw_call_wait(c, 4000));
-	CU_ASSERT(pw_stream_whole(c, 60));
+	CU_ASSERT(pw_stream_complete(c, 60));
 	pw_entry_kill(e, SIGTERM);
 	pw_run(900);
-	c = pw_ask(e, "POST", "/chat/", 9000);
+	c = pw_request(e, "POST", "/chat/", 9000);
 	CU_ASSERT(pw_call_wait(c, 3000));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 0);
@@ -395,13 +395,13 @@
 	pw_settings("bounds.failClosed=true\nbounds.revokeMs=1000\n");
 	s[0] = pw_server_add("app", 0);
 	e = pw_entry_ready();
-	c = pw_ask(e, "GET", "/nowhere/", 1000);
+	c = pw_request(e, "GET", "/nowhere/", 1000);
 	CU_ASSERT(pw_call_wait(c, 500));
 	CU_ASSERT_EQUAL(c->status, 404);
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "no such key"), 401);
 	pw_store.mode = PW_STORE_DOWN;
 	pw_run(1500);
-	c = pw_ask(e, "GET", "/nowhere/", 1000);
+	c = pw_request(e, "GET", "/nowhere/", 1000);
 	CU_ASSERT(pw_call_wait(c, 500));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "no such key"), 503);
--- a/test/test_hold.c
+++ b/test/test_hold.c
@@ -221,7 +221,7 @@
 	}
 	e = pw_entry_ready();
 	for (i = 0; i < MANY; i++) {
-		c[i] = pw_ask(e, "POST", "/sum/", 20000);
+		c[i] = pw_request(e, "POST", "/sum/", 20000);
 		pw_run(5);
 		if (i && c[i]->x) cn_pause(&c[i]->x->cn, 1);
 	}
@@ -238,7 +238,7 @@
 	CU_ASSERT_EQUAL(c[0]->status, 200);
 	fprintf(stderr, "at most %ld of %d MB\n", most, MEMORY_MB);
 	for (i = 1; i < MANY; i++)
-		if (c[i]->x) pw_call_leave(c[i]);
+		if (c[i]->x) pw_call_cancel(c[i]);
 	pw_end();
 }
 
--- a/test/test_jump.c
+++ b/test/test_jump.c
@@ -101,7 +101,7 @@
 	s = pw_server_add("app", 0);
 	s->mode = PW_HANG;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/unsafe/", 4000);
+	c = pw_request(e, "POST", "/unsafe/", 4000);
 	pw_run(100);
 	from = clock_us();
 	suspend(e, 5000);
@@ -121,12 +121,12 @@
 	init();
 	for (i = 0; i < 3; i++) pw_server_add("llm", 1)->events = 60;
 	e = pw_entry_ready();
-	for (i = 0; i < 4; i++) c[i] = pw_ask(e, "POST", i % 2 ? "/chat/" : "/sum/", 20000);
+	for (i = 0; i < 4; i++) c[i] = pw_request(e, "POST", i % 2 ? "/chat/" : "/sum/", 20000);
 	pw_run(200);
 	suspend(e, 3000);
 	for (i = 0; i < 4; i++) {
 		CU_ASSERT(pw_call_wait(c[i], 3000));
-		CU_ASSERT(pw_stream_whole(c[i], 60));
+		CU_ASSERT(pw_stream_complete(c[i], 60));
 		CU_ASSERT_EQUAL(pw_runs_of(c[i]->id), 1);
 	}
 	end();
--- a/test/test_leave.c
+++ b/test/test_leave.c
@@ -28,14 +28,14 @@
 static void a_stream_goes_on_from_its_backup(void)
 {
 	struct pw_entry *e = with_engines(2, 120);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 	struct pw_server *first;
 
 	first = server_after(c, 600);
 	CU_ASSERT(pw_run_of(c->id, 0)->backup[0] != '\0');
 	pw_server_list(first, "draining");
 	CU_ASSERT(pw_call_wait(c, 4000));
-	CU_ASSERT(pw_stream_whole(c, 120));
+	CU_ASSERT(pw_stream_complete(c, 120));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	CU_ASSERT(pw_run_of(c->id, 0)->cancelled);
 	CU_ASSERT(strchr(pw_run_of(c->id, 1)->copy, '/') != NULL);
@@ -59,14 +59,14 @@
 static void a_source_is_let_go_in_time_when_its_successor_answers_late(void)
 {
 	struct pw_entry *e = with_engines(2, 200);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 	struct pw_server *first = server_after(c, 600);
 	int i;
 
 	for (i = 0; i < 2; i++) engines[i]->copy_ms = 900;
 	pw_server_list(first, "draining");
 	CU_ASSERT(pw_call_wait(c, 6000));
-	CU_ASSERT(pw_stream_whole(c, 200));
+	CU_ASSERT(pw_stream_complete(c, 200));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	CU_ASSERT(pw_run_of(c->id, 0)->cancelled);
 	CU_ASSERT(pw_run_of(c->id, 0)->ended_us - pw_run_of(c->id, 1)->began_us < 400000);
@@ -83,7 +83,7 @@
 static void a_source_is_let_go_in_time_by_a_loop_that_was_held_up(void)
 {
 	struct pw_entry *e = with_engines(2, 300);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 	struct pw_server *first = server_after(c, 600);
 	int i;
 
@@ -96,7 +96,7 @@
 	pw_entry_kill(e, SIGCONT);
 	pw_run(300);
 	CU_ASSERT(pw_run_of(c->id, 0)->ended_us - pw_run_of(c->id, 1)->began_us < 400000);
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_end();
 }
 
@@ -105,7 +105,7 @@
 static void a_silent_successor_is_asked_again(void)
 {
 	struct pw_entry *e = with_engines(2, 200);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 20000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 20000);
 	struct pw_server *first = server_after(c, 600);
 	int i;
 
@@ -114,7 +114,7 @@
 	CU_ASSERT(pw_until(has_second_run, c, 2000));
 	for (i = 0; i < 2; i++) engines[i]->copy_ms = 5;
 	CU_ASSERT(pw_call_wait(c, 4500));
-	CU_ASSERT(pw_stream_whole(c, 200));
+	CU_ASSERT(pw_stream_complete(c, 200));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 3);
 	CU_ASSERT(pw_run_of(c->id, 1)->cancelled);
 	pw_end();
@@ -133,23 +133,23 @@
 		engines[i]->break_after = 5;
 		engines[i]->copy_status = 503;
 	}
-	c = pw_ask(e, "POST", "/chat/", 4000);
+	c = pw_request(e, "POST", "/chat/", 4000);
 	pw_run(2500);
 	CU_ASSERT(engines[0]->copies + engines[1]->copies > 0);
 	CU_ASSERT_EQUAL(pw_entry_wait(e, 100), -1);
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_end();
 }
 
 static void a_crash_is_survived_with_a_backup(void)
 {
 	struct pw_entry *e = with_engines(2, 120);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 
 	pw_run(600);
-	pw_server_die(pw_run_of(c->id, 0)->server);
+	pw_server_crash(pw_run_of(c->id, 0)->server);
 	CU_ASSERT(pw_call_wait(c, 4000));
-	CU_ASSERT(pw_stream_whole(c, 120));
+	CU_ASSERT(pw_stream_complete(c, 120));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	pw_end();
 }
@@ -158,14 +158,14 @@
 static void a_copy_that_is_turned_away_for_a_moment_is_asked_for_again(void)
 {
 	struct pw_entry *e = with_engines(2, 120);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 	struct pw_server *first;
 
 	first = server_after(c, 600);
 	(first == engines[0] ? engines[1] : engines[0])->copy_refusals = 2;
-	pw_server_die(first);
+	pw_server_crash(first);
 	CU_ASSERT(pw_call_wait(c, 4000));
-	CU_ASSERT(pw_stream_whole(c, 120));
+	CU_ASSERT(pw_stream_complete(c, 120));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	pw_end();
 }
@@ -175,7 +175,7 @@
 static void engines_are_asked_whether_they_leave_while_the_store_is_silent(void)
 {
 	struct pw_entry *e = with_engines(2, 600);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 	struct pw_server *first;
 
 	first = server_after(c, 1500);
@@ -184,12 +184,12 @@
 	pw_run(2600);
 	CU_ASSERT(first->reports > 0);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
-	first->leaves = 1;
+	first->draining = 1;
 	pw_run(900);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	CU_ASSERT(pw_log_has(e, "its own report"));
 	pw_store.mode = PW_STORE_OK;
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_end();
 }
 
@@ -198,7 +198,7 @@
 static void a_failing_health_check_moves_streams_while_the_store_is_away(void)
 {
 	struct pw_entry *e = with_engines(2, 600);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 	struct pw_server *first;
 
 	first = server_after(c, 1500);
@@ -207,11 +207,11 @@
 	pw_run(2000);
 	CU_ASSERT(first->checks > 0);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
-	first->ailing = 1;
+	first->unhealthy = 1;
 	pw_run(300);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	pw_store.mode = PW_STORE_OK;
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_end();
 }
 
@@ -219,7 +219,7 @@
 static void streams_stay_where_they_are_when_entries_lapse(void)
 {
 	struct pw_entry *e = with_engines(2, 900);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 12000), *other;
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 12000), *other;
 	int i;
 
 	pw_run(300);
@@ -229,7 +229,7 @@
 	pw_store.mode = PW_STORE_OK;
 	pw_run(1200);
 	CU_ASSERT(pw_log_has(e, "backend_lapsed"));
-	other = pw_ask(e, "POST", "/sum/", 5000);
+	other = pw_request(e, "POST", "/sum/", 5000);
 	pw_run(100);
 	CU_ASSERT_EQUAL(pw_runs_of(other->id), 1);
 	for (i = 0; i < 2; i++) pw_server_list(engines[i], "ready");
@@ -237,8 +237,8 @@
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
 	CU_ASSERT_EQUAL(engines[0]->moves + engines[1]->moves, 0);
 	CU_ASSERT(!pw_log_has(e, "\"gone\""));
-	pw_call_leave(other);
-	pw_call_leave(c);
+	pw_call_cancel(other);
+	pw_call_cancel(c);
 	pw_end();
 }
 
@@ -261,25 +261,25 @@
 static void an_engine_whose_health_check_lied_is_used_again(void)
 {
 	struct pw_entry *e = with_engines(1, 600);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000), *later;
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000), *later;
 
 	pw_run(300);
 	pw_store.mode = PW_STORE_BUSY;
 	pw_run(2000);
-	engines[0]->ailing = 1;
+	engines[0]->unhealthy = 1;
 	pw_run(400);
 	CU_ASSERT(pw_log_has(e, "backend_suspect"));
-	engines[0]->ailing = 0;
+	engines[0]->unhealthy = 0;
 	pw_store.mode = PW_STORE_OK;
 	pw_run(3200);
 	engines[1] = pw_server_add("llm", 1);
 	engines[1]->mode = PW_FULL;
 	pw_run(100);
-	later = pw_ask(e, "POST", "/sum/", 8000);
+	later = pw_request(e, "POST", "/sum/", 8000);
 	CU_ASSERT(pw_call_wait(later, 8000));
 	CU_ASSERT_EQUAL(later->status, 200);
 	CU_ASSERT_STRING_EQUAL(pw_run_of(later->id, 0)->server->id, engines[0]->id);
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_end();
 }
 
@@ -289,7 +289,7 @@
 	struct pw_call *c;
 	struct pw_server *first;
 
-	c = pw_ask(e, "POST", "/chat/", 9000);
+	c = pw_request(e, "POST", "/chat/", 9000);
 	first = server_after(c, 300);
 	/* its backup goes first */
 	pw_server_list(first == engines[0] ? engines[1] : engines[0], "draining");
@@ -298,7 +298,7 @@
 	pw_run(300);
 	pw_server_list(first, "draining");
 	CU_ASSERT(pw_call_wait(c, 4000));
-	CU_ASSERT(pw_stream_whole(c, 120));
+	CU_ASSERT(pw_stream_complete(c, 120));
 	CU_ASSERT_EQUAL(first->moves, 2);
 	CU_ASSERT(pw_run_of(c->id, 0)->stopped);
 	pw_end();
@@ -318,7 +318,7 @@
 	pw_conf_write();
 	e[1] = pw_entry_ready();
 	pw_run(900);
-	for (i = 0; i < 2; i++) c[i] = pw_ask(e[i], "POST", "/chat/", 9000);
+	for (i = 0; i < 2; i++) c[i] = pw_request(e[i], "POST", "/chat/", 9000);
 	pw_run(300);
 	engines[0]->move_ms = 50;
 	pw_server_add("llm", 1)->events = 300;
@@ -328,9 +328,9 @@
 	for (i = 0; i < 2; i++) {
 		CU_ASSERT_EQUAL(pw_runs_of(c[i]->id), 2);
 		CU_ASSERT(pw_run_of(c[i]->id, 0)->stopped);
-		pw_call_leave(c[i]);
+		pw_call_cancel(c[i]);
 	}
-	CU_ASSERT_EQUAL(engines[0]->moving_most, 1);
+	CU_ASSERT_EQUAL(engines[0]->max_moving, 1);
 	pw_end();
 }
 
@@ -338,7 +338,7 @@
 static void a_target_without_room_is_left_for_another(void)
 {
 	struct pw_entry *e = with_engines(1, 200);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 
 	pw_run(300);
 	engines[0]->move_status = 503;
@@ -351,7 +351,7 @@
 	engines[0]->move_status = 0;
 	pw_run(500);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_end();
 }
 
@@ -363,11 +363,11 @@
 
 	engines[0]->mode = PW_SILENT;
 	engines[0]->break_after = 20;
-	c = pw_ask(e, "POST", "/chat/", 9000);
+	c = pw_request(e, "POST", "/chat/", 9000);
 	pw_run(300);
 	pw_server_add("llm", 1)->events = 60;
 	CU_ASSERT(pw_call_wait(c, 4000));
-	CU_ASSERT(pw_stream_whole(c, 60));
+	CU_ASSERT(pw_stream_complete(c, 60));
 	CU_ASSERT(pw_run_of(c->id, 0)->stopped);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	pw_end();
@@ -384,11 +384,11 @@
 		engines[i]->mode = PW_SILENT;
 		engines[i]->break_after = 20;
 	}
-	c = pw_ask(e, "POST", "/sum/", 9000);
+	c = pw_request(e, "POST", "/sum/", 9000);
 	pw_run(400);
 	for (i = 0; i < 2; i++) engines[i]->mode = PW_OK; /* what is silent stays so */
 	CU_ASSERT(pw_call_wait(c, 3500));
-	CU_ASSERT(pw_stream_whole(c, 60));
+	CU_ASSERT(pw_stream_complete(c, 60));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	CU_ASSERT(pw_run_of(c->id, 0)->cancelled);
 	pw_end();
@@ -414,12 +414,12 @@
 	uint32_t k;
 	int i, tries = 0;
 
-	for (i = 0; i < 3; i++) pw_server_die(engines[i]);
+	for (i = 0; i < 3; i++) pw_server_crash(engines[i]);
 	for (i = 0; i < 3; i++) {
 		while (!was_refused(e, engines[i]) && tries++ < TRIES_MAX)
-			CU_ASSERT(pw_call_wait(pw_ask(e, "POST", "/sum/", 9000), 3000));
+			CU_ASSERT(pw_call_wait(pw_request(e, "POST", "/sum/", 9000), 3000));
 	}
-	for (i = 0; i < 6; i++) c[i] = pw_ask(e, "POST", "/chat/", 9000);
+	for (i = 0; i < 6; i++) c[i] = pw_request(e, "POST", "/chat/", 9000);
 	for (i = 0; i < 6; i++) CU_ASSERT(pw_call_wait(c[i], 3000));
 	for (k = 0; k < pw_runs->len; k++) {
 		const struct pw_run *r = g_ptr_array_index(pw_runs, k);
@@ -438,7 +438,7 @@
 	struct pw_call *c;
 	struct pw_server *first, *target;
 
-	c = pw_ask(e, "POST", "/chat/", 9000);
+	c = pw_request(e, "POST", "/chat/", 9000);
 	first = server_after(c, 300);
 	pw_server_list(first == engines[0] ? engines[1] : engines[0], "draining");
 	pw_run(100);
@@ -448,7 +448,7 @@
 	pw_run(300);
 	pw_server_list(first, "draining");
 	CU_ASSERT(pw_call_wait(c, 4000));
-	CU_ASSERT(pw_stream_whole(c, 120));
+	CU_ASSERT(pw_stream_complete(c, 120));
 	CU_ASSERT(target->copies > 0);
 	pw_end();
 }
@@ -457,7 +457,7 @@
 static void a_copy_s_engine_that_is_gone_is_left_alone(void)
 {
 	struct pw_entry *e = with_engines(4, 60);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 	struct pw_run *run;
 	char line[128] = "no copy was ordered";
 	int i;
@@ -466,11 +466,11 @@
 	run = pw_run_of(c->id, 0);
 	for (i = 0; i < 4; i++) {
 		if (strcmp(engines[i]->address, run->backup)) continue;
-		pw_server_die(engines[i]);
+		pw_server_crash(engines[i]);
 		g_snprintf(line, sizeof line, "\"backend_ejected\",\"backend\":\"%s\"",
 			   engines[i]->id);
 	}
-	pw_server_die(run->server);
+	pw_server_crash(run->server);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT(c->err != 0); /* nothing is left of it */
 	CU_ASSERT(pw_log_has(e, line));
@@ -481,7 +481,7 @@
 static void a_stream_does_not_move_among_engines_that_all_leave(void)
 {
 	struct pw_entry *e = with_engines(3, 400);
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 9000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 9000);
 	struct pw_server *first = server_after(c, 300);
 	int i, moves = 0;
 
@@ -496,7 +496,7 @@
 	CU_ASSERT_EQUAL(moves, 0);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
 	CU_ASSERT(pw_call_wait(c, 6000));
-	CU_ASSERT(pw_stream_whole(c, 400));
+	CU_ASSERT(pw_stream_complete(c, 400));
 	pw_end();
 }
 
@@ -510,9 +510,9 @@
 	pw_run(100);
 	before = engines[0]->arrivals;
 	for (i = 0; i < 6; i++) {
-		c = pw_ask(e, "POST", "/sum/", 5000);
+		c = pw_request(e, "POST", "/sum/", 5000);
 		CU_ASSERT(pw_call_wait(c, 2000));
-		CU_ASSERT(pw_stream_whole(c, 5));
+		CU_ASSERT(pw_stream_complete(c, 5));
 	}
 	CU_ASSERT_EQUAL(engines[0]->arrivals, before);
 	pw_end();
--- a/test/test_life.c
+++ b/test/test_life.c
@@ -13,18 +13,18 @@
 {
 	static int64_t lives;
 
-	pw_server_die(s);
+	pw_server_crash(s);
 	if (elsewhere)
 		g_snprintf(s->address, sizeof s->address, "%s:%d", pw_server_ip(),
 			   SECOND_PORT + (int)(++lives % 90));
-	s->born_ms = clock_wall_ms() + ++lives;
+	s->incarnation_ms = clock_wall_ms() + ++lives;
 	pw_server_listen(s);
 	pw_server_list(s, "ready");
 }
 
 static void list_born(struct pw_server *s)
 {
-	s->born_ms = clock_wall_ms();
+	s->incarnation_ms = clock_wall_ms();
 	pw_server_list(s, "ready");
 }
 
@@ -62,7 +62,7 @@
 	for (i = 0; i < 2; i++) e[i] = pw_entry_ready();
 	pw_run(600);
 	s->mode = PW_HANG;
-	for (i = 0; i < 6; i++) c[i] = pw_ask(e[i % 2], "POST", "/unsafe/", 4000);
+	for (i = 0; i < 6; i++) c[i] = pw_request(e[i % 2], "POST", "/unsafe/", 4000);
 	pw_run(100);
 	s->mode = PW_OK;
 	other = pw_server_add("app", 0);
@@ -89,14 +89,14 @@
 	e = pw_entry_ready();
 	s->mode = PW_SILENT;
 	s->break_after = 5;
-	c = pw_ask(e, "POST", "/sum/", 20000);
+	c = pw_request(e, "POST", "/sum/", 20000);
 	pw_run(300);
 	other = pw_server_add("llm", 1);
 	pw_run(100);
-	s->born_ms += 1000; /* the old connection stays open and silent */
+	s->incarnation_ms += 1000; /* the old connection stays open and silent */
 	pw_server_list(s, "ready");
 	CU_ASSERT(pw_call_wait(c, 700));
-	CU_ASSERT(pw_stream_whole(c, 30));
+	CU_ASSERT(pw_stream_complete(c, 30));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	(void)other;
 	pw_end();
@@ -113,20 +113,20 @@
 	pw_init();
 	s = pw_server_add("app", 0);
 	list_born(s);
-	old = s->born_ms;
+	old = s->incarnation_ms;
 	e = pw_entry_ready();
 	p = pw_peer_new(e, 0);
-	p->takes_callers = 1;
+	p->serving_callers = 1;
 	pw_run(600);
 	begin_anew(s, 0);
 	pw_run(300);
-	pw_peer_tells_leaving(p, s->id, old);
+	pw_peer_report_leaving(p, s->id, old);
 	pw_run(50);
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200);
-	pw_peer_tells_leaving(p, s->id, s->born_ms + 500); /* not listed yet */
+	pw_peer_report_leaving(p, s->id, s->incarnation_ms + 500); /* not listed yet */
 	pw_run(50);
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200);
-	s->born_ms += 500;
+	s->incarnation_ms += 500;
 	pw_server_list(s, "ready");
 	pw_run(300);
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 503); /* and then it leaves at once */
@@ -232,25 +232,25 @@
 	for (i = 0; i < 2; i++) s[i] = pw_server_add("llm", 1);
 	e = pw_entry_ready();
 	for (i = 0; i < 2; i++) s[i]->event_ms = 30;
-	c = pw_ask(e, "POST", "/chat/", 20000);
+	c = pw_request(e, "POST", "/chat/", 20000);
 	pw_run(150);
 	i = pw_run_of(c->id, 0)->server == s[1];
 	put(s[i]->id, "{\"service\":\"llm\",\"slots\":\"a few\"}");
 	pw_run(200);
 	s[i]->arrivals = 0;
-	CU_ASSERT(pw_call_wait(pw_ask(e, "POST", "/sum/", 20000), 3000));
-	CU_ASSERT(pw_call_wait(pw_ask(e, "POST", "/sum/", 20000), 3000));
+	CU_ASSERT(pw_call_wait(pw_request(e, "POST", "/sum/", 20000), 3000));
+	CU_ASSERT(pw_call_wait(pw_request(e, "POST", "/sum/", 20000), 3000));
 	CU_ASSERT_EQUAL(s[i]->arrivals, 0);
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, 30));
+	CU_ASSERT(pw_stream_complete(c, 30));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
 	CU_ASSERT_EQUAL(s[0]->moves + s[1]->moves, 0);
 	s[1 - i]->mode = PW_FULL;
 	pw_server_list(s[i], "ready"); /* readable again: in use again */
 	pw_run(200);
-	c = pw_ask(e, "POST", "/sum/", 20000);
+	c = pw_request(e, "POST", "/sum/", 20000);
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, 30));
+	CU_ASSERT(pw_stream_complete(c, 30));
 	pw_end();
 }
 
--- a/test/test_limits.c
+++ b/test/test_limits.c
@@ -39,7 +39,7 @@
 
 static void say(const char *limit)
 {
-	s[0]->says = limit;
+	s[0]->extra_fields = limit;
 	named_us = clock_us();
 }
 
@@ -49,7 +49,7 @@
 
 	while (clock_us() < until) {
 		g_ptr_array_add(calls,
-				pw_ask(e[calls->len % INSTANCES], "POST", "/safe/", 2000));
+				pw_request(e[calls->len % INSTANCES], "POST", "/safe/", 2000));
 		pw_run(EACH_MS);
 	}
 }
@@ -83,7 +83,7 @@
 	start();
 	say("Server-Limit: 3.6\r\n");
 	call_for(5500);
-	most = pw_server_most(s[0], named_us + SETTLE_US, WINDOW_MS);
+	most = pw_server_max_arrivals(s[0], named_us + SETTLE_US, WINDOW_MS);
 	CU_ASSERT(most <= allowed(3.6));
 	CU_ASSERT(most >= 3.6 * WINDOW_MS / 1000 / 2); /* and it is not left idle */
 	CU_ASSERT_EQUAL(not_served(), 0);
@@ -103,10 +103,10 @@
 	for (i = 0; i < 3; i++) {
 		pw_entry_kill(e[i], SIGKILL);
 		pw_entry_wait(e[i], 1000);
-		pw_entry_again(e[i]);
+		pw_entry_restart(e[i]);
 		call_for(1300);
 	}
-	CU_ASSERT(pw_server_most(s[0], named_us + SETTLE_US, WINDOW_MS) <= allowed(1));
+	CU_ASSERT(pw_server_max_arrivals(s[0], named_us + SETTLE_US, WINDOW_MS) <= allowed(1));
 	stop();
 }
 
@@ -117,7 +117,7 @@
 	call_for(1500);
 	say(NULL);
 	call_for(3500);
-	CU_ASSERT(pw_server_most(s[0], named_us, WINDOW_MS) > allowed(2.5));
+	CU_ASSERT(pw_server_max_arrivals(s[0], named_us, WINDOW_MS) > allowed(2.5));
 	CU_ASSERT_EQUAL(not_served(), 0);
 	stop();
 }
@@ -136,14 +136,14 @@
 	say("Server-Limit: 900\r\nServer-Limit: 2\r\n");
 	call_for(500);
 	for (i = 0; i < G_N_ELEMENTS(said); i++) {
-		s[0]->says = said[i];
+		s[0]->extra_fields = said[i];
 		call_for(600);
 	}
-	CU_ASSERT(pw_server_most(s[0], named_us + SETTLE_US, WINDOW_MS) <= allowed(2));
+	CU_ASSERT(pw_server_max_arrivals(s[0], named_us + SETTLE_US, WINDOW_MS) <= allowed(2));
 	CU_ASSERT(pw_metric(e[0], "saddlehead_notices_unread_total") > 0);
 	say(NULL);
 	call_for(3000);
-	CU_ASSERT(pw_server_most(s[0], named_us, WINDOW_MS) > allowed(2));
+	CU_ASSERT(pw_server_max_arrivals(s[0], named_us, WINDOW_MS) > allowed(2));
 	stop();
 }
 
@@ -154,7 +154,7 @@
 	int k;
 
 	start();
-	for (k = 0; k < SERVERS; k++) s[k]->says = "Server-Limit: 1\r\n";
+	for (k = 0; k < SERVERS; k++) s[k]->extra_fields = "Server-Limit: 1\r\n";
 	named_us = clock_us();
 	call_for(5000);
 	not_served();
@@ -172,7 +172,8 @@
 	CU_ASSERT(slow <= refused / 20); /* those that others, more urgent, came before */
 	CU_ASSERT(served > 3 * SERVERS);
 	for (k = 0; k < SERVERS; k++)
-		CU_ASSERT(pw_server_most(s[k], named_us + SETTLE_US, WINDOW_MS) <= allowed(1));
+		CU_ASSERT(pw_server_max_arrivals(s[k], named_us + SETTLE_US, WINDOW_MS) <=
+			  allowed(1));
 	CU_ASSERT(pw_log_has(e[0], "request_held_back"));
 	stop();
 }
@@ -188,7 +189,7 @@
 	say("Server-Limit: 0.2\r\n");
 	call_for(300);
 	for (i = 0; i < INSTANCES; i++) {
-		c = pw_ask(e[i], "POST", "/safe/", 1000);
+		c = pw_request(e[i], "POST", "/safe/", 1000);
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 503);
 		soon += g_ascii_strtod(c->retry_after, NULL) < 1;
@@ -211,15 +212,15 @@
 	e[0] = pw_entry_ready();
 	other = pw_server_add("llm", 1);
 	other->copy_status = 503;
-	first->says = "Server-Limit: 0.5\r\n";
-	for (i = 0; i < 24; i++) c[i] = pw_ask(e[0], "POST", "/chat/", 9000);
+	first->extra_fields = "Server-Limit: 0.5\r\n";
+	for (i = 0; i < 24; i++) c[i] = pw_request(e[0], "POST", "/chat/", 9000);
 	pw_run(600);
 	named_us = clock_us();
 	pw_server_list(first, "draining");
 	pw_run(4000);
 	CU_ASSERT(first->moves > 0);
-	CU_ASSERT(pw_server_most(first, named_us, WINDOW_MS) <= allowed(0.5));
-	for (i = 0; i < 24; i++) pw_call_leave(c[i]);
+	CU_ASSERT(pw_server_max_arrivals(first, named_us, WINDOW_MS) <= allowed(0.5));
+	for (i = 0; i < 24; i++) pw_call_cancel(c[i]);
 	pw_end();
 }
 
--- a/test/test_links.c
+++ b/test/test_links.c
@@ -92,7 +92,7 @@
 	proxy_silence(f.way[2]);
 	end_one(&f);
 	pw_run(RENEW_MS);
-	CU_ASSERT_EQUAL(pw_crash.ends, 1);
+	CU_ASSERT_EQUAL(pw_crash.crashes, 1);
 	CU_ASSERT(pw_log_has(f.e[1], "backend_ended"));
 	CU_ASSERT(pw_log_has(f.e[2], "backend_ended"));
 	relayed_end(&f);
@@ -166,7 +166,7 @@
 	pw_run(150);
 	proxy_set(f.way[1], PROXY_OK);
 	pw_run(300);
-	CU_ASSERT_EQUAL(pw_crash.ends, 3);
+	CU_ASSERT_EQUAL(pw_crash.crashes, 3);
 	c = ask(f.e[1], "what everybody sends");
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
@@ -187,7 +187,7 @@
 	relayed_begin(&f);
 	proxy_set(f.way[1], PROXY_CUT_TO);
 	for (i = 0; i < 3; i++) end_under(&f, list_alone());
-	CU_ASSERT_EQUAL(pw_crash.ends, 3);
+	CU_ASSERT_EQUAL(pw_crash.crashes, 3);
 	pw_run(ANSWER_MS);
 	CU_ASSERT_EQUAL(pw_metric(f.e[0], "saddlehead_blocked"), 1);
 	relayed_end(&f);
@@ -200,7 +200,7 @@
 
 	ask(f->e[1], "what everybody sends");
 	pw_run(CRASH_MS);
-	pw_server_die(s);
+	pw_server_crash(s);
 	pw_run(NOTICE_MS);
 	pw_server_unlist(s);
 }
@@ -228,7 +228,7 @@
 	pw_run(OLD_MS);
 	pw_entry_kill(f.e[2], SIGKILL);
 	CU_ASSERT(pw_entry_wait(f.e[2], 1000) >= 0);
-	pw_entry_again(f.e[2]);
+	pw_entry_restart(f.e[2]);
 	CU_ASSERT(pw_entry_until_ready(f.e[2]));
 	pw_server_add("app", 0);
 	pw_run(RELAYED_HEAR_MS);
@@ -250,11 +250,11 @@
 	int i;
 
 	pw_run(600);
-	s[0]->says = "Server-Leaving: 1\r\n";
+	s[0]->extra_fields = "Server-Leaving: 1\r\n";
 	for (i = 0; i < 20 && !s[0]->arrivals; i++) pw_status_of_key(e, "k1");
 	pw_run(600);
 	CU_ASSERT_EQUAL(p->leavings, 0);
-	p->takes_callers = 1;
+	p->serving_callers = 1;
 	pw_run(600);
 	CU_ASSERT(p->leavings >= 1);
 	pw_peers_end();
--- a/test/test_mesh.c
+++ b/test/test_mesh.c
@@ -40,12 +40,12 @@
 	a = pw_entry_ready();
 	b = pw_entry_ready();
 	pw_run(900);
-	CU_ASSERT(pw_where_names(a, a->ip));
-	CU_ASSERT(pw_where_names(a, b->ip));
-	CU_ASSERT(pw_where_names(b, a->ip));
+	CU_ASSERT(pw_directory_has(a, a->ip));
+	CU_ASSERT(pw_directory_has(a, b->ip));
+	CU_ASSERT(pw_directory_has(b, a->ip));
 	pw_entry_kill(b, SIGTERM);
 	pw_run(700);
-	CU_ASSERT(!pw_where_names(a, b->ip)); /* it drains: told at its next heartbeat */
+	CU_ASSERT(!pw_directory_has(a, b->ip)); /* it drains: told at its next heartbeat */
 	pw_entry_kill(b, SIGKILL);
 	pw_end();
 }
@@ -61,8 +61,8 @@
 	pw_run(900);
 	pw_entry_kill(b, SIGKILL);
 	pw_run(2200);
-	CU_ASSERT(pw_where_names(a, a->ip));
-	CU_ASSERT(!pw_where_names(a, b->ip));
+	CU_ASSERT(pw_directory_has(a, a->ip));
+	CU_ASSERT(!pw_directory_has(a, b->ip));
 	pw_end();
 }
 
@@ -214,9 +214,9 @@
 	pw_run(900);
 	/* By its own load alone an instance would choose the same server half of the time. */
 	for (i = 1; i <= 6; i++) {
-		c[0] = pw_ask(a, "POST", "/sum/", 5000);
+		c[0] = pw_request(a, "POST", "/sum/", 5000);
 		pw_run(40);
-		c[1] = pw_ask(b, "POST", "/sum/", 5000);
+		c[1] = pw_request(b, "POST", "/sum/", 5000);
 		for (k = 0; k < 2; k++) CU_ASSERT(pw_call_wait(c[k], 3000));
 		CU_ASSERT_EQUAL(s[0]->arrivals, i);
 		CU_ASSERT_EQUAL(s[1]->arrivals, i);
@@ -235,8 +235,8 @@
 	a = pw_entry_ready();
 	b = pw_entry_ready();
 	pw_run(3000);
-	CU_ASSERT(pw_where_names(a, b->ip));
-	CU_ASSERT(pw_where_names(b, a->ip));
+	CU_ASSERT(pw_directory_has(a, b->ip));
+	CU_ASSERT(pw_directory_has(b, a->ip));
 	pw_end();
 }
 
@@ -317,7 +317,7 @@
 	busy->mode = PW_HANG;
 	for (i = 0; i < 2; i++) e[i] = pw_entry_ready();
 	pw_run(800);
-	for (i = 0; i < UNDER_WAY; i++) pw_ask(e[0], "POST", "/unsafe/", 9000);
+	for (i = 0; i < UNDER_WAY; i++) pw_request(e[0], "POST", "/unsafe/", 9000);
 	pw_run(100);
 	slow = pw_server_add("app", 0);
 	slow->work_ms = 60;
--- a/test/test_notices.c
+++ b/test/test_notices.c
@@ -41,8 +41,8 @@
 	int64_t until = clock_us() + ms * 1000LL;
 
 	while (clock_us() < until) {
-		g_ptr_array_add(calls, pw_ask(e[calls->len % (unsigned)instances], "POST",
-					      "/safe/", deadline_ms));
+		g_ptr_array_add(calls, pw_request(e[calls->len % (unsigned)instances], "POST",
+						  "/safe/", deadline_ms));
 		pw_run(EACH_MS);
 	}
 }
@@ -66,7 +66,7 @@
 {
 	start(3);
 	pw_store.mode = PW_STORE_SILENT;
-	s[0]->says = LEAVES;
+	s[0]->extra_fields = LEAVES;
 	call_for(3, DRAIN_MS);
 	s[0]->arrivals = 0;
 	call_for(3, 1500);
@@ -79,12 +79,12 @@
 static void word_that_a_server_leaves_comes_to_instances_that_start(void)
 {
 	start(3);
-	s[0]->says = LEAVES;
+	s[0]->extra_fields = LEAVES;
 	call_for(2, 500);
 	pw_entry_kill(e[2], SIGKILL);
 	pw_entry_wait(e[2], 1000);
 	pw_server_list(s[0], "ready");
-	pw_entry_again(e[2]);
+	pw_entry_restart(e[2]);
 	CU_ASSERT(pw_entry_until_ready(e[2]));
 	s[0]->arrivals = 0;
 	call_for(3, 1000);
@@ -95,7 +95,7 @@
 static void a_server_that_leaves_is_not_taken_back_when_its_entry_lapsed(void)
 {
 	start(2);
-	s[0]->says = LEAVES;
+	s[0]->extra_fields = LEAVES;
 	call_for(2, 500);
 	pw_server_unlist(s[0]);
 	pw_run(300);
@@ -112,7 +112,7 @@
 {
 	start(1);
 	s[0]->mode = PW_FULL;
-	s[0]->says = LEAVES;
+	s[0]->extra_fields = LEAVES;
 	call_for(1, 400);
 	s[0]->mode = PW_OK;
 	s[0]->arrivals = 0;
@@ -133,14 +133,14 @@
 	first->events = 200;
 	e[0] = pw_entry_ready();
 	for (i = 0; i < 4; i++) {
-		if (i == 3) first->says = LEAVES;
-		c[i] = pw_ask(e[0], "POST", "/chat/", 9000);
+		if (i == 3) first->extra_fields = LEAVES;
+		c[i] = pw_request(e[0], "POST", "/chat/", 9000);
 		pw_run(100);
 	}
 	pw_server_add("llm", 1)->events = 200;
 	for (i = 0; i < 4; i++) {
 		CU_ASSERT(pw_call_wait(c[i], 6000));
-		CU_ASSERT(pw_stream_whole(c[i], 200));
+		CU_ASSERT(pw_stream_complete(c[i], 200));
 		CU_ASSERT(pw_runs_of(c[i]->id) > 1);
 	}
 	pw_end();
@@ -158,7 +158,7 @@
 
 	for (i = 0; i < servers; i++) {
 		s[i]->mode = PW_FULL;
-		s[i]->says = REST;
+		s[i]->extra_fields = REST;
 	}
 }
 
@@ -169,8 +169,8 @@
 
 	for (i = 0; i < SERVERS; i++)
 		if (s[i]->mode == PW_FULL)
-			most = MAX(most, pw_server_most(s[i], clock_us() - 60000000,
-							REST_MS - REST_FROM_MS));
+			most = MAX(most, pw_server_max_arrivals(s[i], clock_us() - 60000000,
+								REST_MS - REST_FROM_MS));
 	return most;
 }
 
@@ -227,12 +227,12 @@
 	ask_for_rest(1);
 	call_for(1, 200);
 	s[0]->mode = PW_OK;
-	s[0]->says = NULL;
+	s[0]->extra_fields = NULL;
 	from = clock_us();
 	call_for(1, 1300);
 	pw_run(700);
-	CU_ASSERT(pw_server_most(s[0], from, 2000) > 60);
-	CU_ASSERT(pw_server_most(s[0], from, 15) <= 16);
+	CU_ASSERT(pw_server_max_arrivals(s[0], from, 2000) > 60);
+	CU_ASSERT(pw_server_max_arrivals(s[0], from, 15) <= 16);
 	nservers = SERVERS;
 	stop();
 }
@@ -248,12 +248,12 @@
 	start(1);
 	for (i = 0; i < G_N_ELEMENTS(said); i++) {
 		s[0]->mode = PW_FULL;
-		s[0]->says = said[i];
+		s[0]->extra_fields = said[i];
 		call_for(1, 250);
 	}
 	CU_ASSERT(pw_metric(e[0], "saddlehead_notices_unread_total") >= 5);
 	s[0]->mode = PW_OK;
-	s[0]->says = NULL;
+	s[0]->extra_fields = NULL;
 	s[0]->arrivals = 0;
 	call_for(1, 500);
 	CU_ASSERT(s[0]->arrivals > 0);
@@ -266,7 +266,7 @@
 {
 	start(1);
 	s[0]->mode = PW_FULL;
-	s[0]->says = "Retry-After: 0.1\r\nRetry-After: 2\r\n";
+	s[0]->extra_fields = "Retry-After: 0.1\r\nRetry-After: 2\r\n";
 	call_for(1, 1900);
 	CU_ASSERT(s[0]->arrivals <= REST_MOST);
 	CU_ASSERT_EQUAL(not_served(), 0);
@@ -284,17 +284,17 @@
 	first = pw_server_add("llm", 1);
 	first->events = 500;
 	e[0] = pw_entry_ready();
-	c = pw_ask(e[0], "POST", "/chat/", 9000);
+	c = pw_request(e[0], "POST", "/chat/", 9000);
 	pw_run(300);
 	first->mode = PW_FULL;
-	first->says = "Retry-After: 3\r\n";
-	first->ailing = 1; /* the check says 503, too */
+	first->extra_fields = "Retry-After: 3\r\n";
+	first->unhealthy = 1; /* the check says 503, too */
 	pw_store.mode = PW_STORE_DOWN;
 	pw_run(5000);
-	most = pw_server_most(first, clock_us() - 4000000, 2500);
+	most = pw_server_max_arrivals(first, clock_us() - 4000000, 2500);
 	CU_ASSERT(first->checks + first->reports > 0);
 	CU_ASSERT(most <= REST_MOST);
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_end();
 }
 
--- a/test/test_regions.c
+++ b/test/test_regions.c
@@ -31,7 +31,7 @@
 	int i, well = 0;
 
 	for (i = 0; i < n; i++) {
-		struct pw_call *c = pw_ask(e, "GET", path, 3000);
+		struct pw_call *c = pw_request(e, "GET", path, 3000);
 
 		pw_call_wait(c, 3000);
 		well += c->status == 200;
@@ -72,11 +72,11 @@
 	away = pw_server_add_in("app", 0, "b");
 	e = pw_entry_ready();
 	away->mode = PW_ERROR;
-	c = pw_ask(e, "GET", "/safe/", 3000);
+	c = pw_request(e, "GET", "/safe/", 3000);
 	CU_ASSERT(pw_call_wait(c, 1000));
 	CU_ASSERT_EQUAL(near->arrivals, 0);
 	bind_to("[\"elsewhere\"]");
-	c = pw_ask(e, "GET", "/safe/", 3000);
+	c = pw_request(e, "GET", "/safe/", 3000);
 	CU_ASSERT(pw_call_wait(c, 200));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT(atof(c->retry_after) > 0);
@@ -96,7 +96,7 @@
 	for (i = 0; i < 2; i++) away[i] = pw_server_add_in("llm", 1, "b");
 	engine->events = away[0]->events = away[1]->events = 300;
 	e = pw_entry_ready();
-	for (i = 0; i < 3; i++) c[i] = pw_ask(e, "POST", "/chat/", 9000);
+	for (i = 0; i < 3; i++) c[i] = pw_request(e, "POST", "/chat/", 9000);
 	pw_run(300);
 	other = pw_server_add("llm", 1);
 	other->events = 300;
@@ -104,7 +104,7 @@
 	pw_server_list(engine, "draining");
 	for (i = 0; i < 3; i++) {
 		CU_ASSERT(pw_call_wait(c[i], 6000));
-		CU_ASSERT(pw_stream_whole(c[i], 300));
+		CU_ASSERT(pw_stream_complete(c[i], 300));
 		CU_ASSERT_EQUAL(strlen(pw_run_of(c[i]->id, 0)->backup), 0);
 	}
 	CU_ASSERT_EQUAL(away[0]->arrivals + away[1]->arrivals, 0);
@@ -119,7 +119,7 @@
 	int i, count = 0;
 
 	g_snprintf(target, sizeof target, "/-/resolution?name=test.example&region=%s", region);
-	pw_question(asked->ip, PW_DIRECTORY, target, out);
+	pw_get(asked->ip, PW_DIRECTORY, target, out);
 	for (i = 0; i < n; i++) {
 		char *at = g_strdup_printf("\"%s:", of[i]->ip);
 
--- a/test/test_relay.c
+++ b/test/test_relay.c
@@ -19,7 +19,7 @@
 	s = pw_server_add("app", 0);
 	pw_server_add("app2", 0);
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/unsafe/x?q=1", 2000);
+	c = pw_request(e, "POST", "/unsafe/x?q=1", 2000);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
 	CU_ASSERT(g_str_has_prefix(c->body->str, "answer to "));
@@ -47,13 +47,13 @@
 	for (i = 0; i < 2; i++) e[i] = pw_entry_ready();
 	pw_run(900);
 	for (i = 0; i < 2; i++) {
-		c = pw_ask(e[i], "POST", "/unsafe/", 2000);
+		c = pw_request(e[i], "POST", "/unsafe/", 2000);
 		CU_ASSERT(pw_call_wait(c, 2000));
 		CU_ASSERT_EQUAL(c->status, 200);
 	}
 	for (i = 0; i < 4; i++) s[i]->work_ms = 60;
 	for (i = 0; i < 16; i++) {
-		c = pw_ask(e[i % 2], "POST", "/unsafe/", 20);
+		c = pw_request(e[i % 2], "POST", "/unsafe/", 20);
 		CU_ASSERT(pw_call_wait(c, 2000));
 		CU_ASSERT(c->status != 200);
 		pw_run(10);
@@ -74,13 +74,13 @@
 	s->work_ms = 200;
 	for (i = 0; i < 12; i++) CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200);
 	arrivals = s->arrivals;
-	c = pw_ask(e, "POST", "/unsafe/", 50);
+	c = pw_request(e, "POST", "/unsafe/", 50);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT(c->retry_after[0] != 0);
 	CU_ASSERT(c->ended_us - c->began_us < 40000);
 	CU_ASSERT_EQUAL(s->arrivals, arrivals);
-	c = pw_ask(e, "POST", "/unsafe/", 400);
+	c = pw_request(e, "POST", "/unsafe/", 400);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
 	pw_end();
@@ -98,7 +98,7 @@
 	s = pw_server_add("app", 0);
 	s->mode = PW_RESET;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/safe/", 2000);
+	c = pw_request(e, "POST", "/safe/", 2000);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 502);
 	CU_ASSERT_EQUAL(s->arrivals, 1);
@@ -205,7 +205,7 @@
 	check_raw(e, long_head->str, long_head->len, "431");
 	g_string_free(long_head, TRUE);
 	CU_ASSERT_EQUAL(s->arrivals, 0);
-	CU_ASSERT_EQUAL(pw_question(e->ip, PW_READY, "/-/readiness", NULL), 200);
+	CU_ASSERT_EQUAL(pw_get(e->ip, PW_READY, "/-/readiness", NULL), 200);
 	pw_end();
 }
 
@@ -253,7 +253,7 @@
 		s[i]->mode = m->mode;
 	}
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", m->path, 700);
+	c = pw_request(e, "POST", m->path, 700);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	if (c->status != m->status || pw_runs_of(c->id) > m->runs)
 		fprintf(stderr, "mode %d %s: status %d, %d runs\n", m->mode, m->path, c->status,
@@ -274,7 +274,7 @@
 		{PW_CUT_CLOSE, "/unsafe/", 502, 1}, {PW_BREAK, "/unsafe/", 502, 1},
 		{PW_ERROR, "/unsafe/", 500, 1},     {PW_ERROR, "/safe/", 500, 2},
 		{PW_EXTRA, "/unsafe/", 200, 1},     {PW_UNTIL_CLOSE, "/unsafe/", 200, 1},
-		{PW_FULL, "/unsafe/", 503, 0},      {PW_STRANGER, "/unsafe/", 503, 0},
+		{PW_FULL, "/unsafe/", 503, 0},      {PW_OTHER_INCARNATION, "/unsafe/", 503, 0},
 	};
 	size_t i;
 
@@ -289,7 +289,7 @@
 	pw_init();
 	pw_server_add("app", 0)->mode = PW_FULL;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/unsafe/", 2000);
+	c = pw_request(e, "POST", "/unsafe/", 2000);
 	CU_ASSERT(pw_call_wait(c, 500));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT(g_ascii_strtod(c->retry_after, NULL) > 0);
@@ -311,7 +311,7 @@
 	pw_server_add("app", 0)->work_ms = 120;
 	e = pw_entry_ready();
 	for (i = 0; i < 6; i++) {
-		c = pw_ask(e, "POST", "/unsafe/", 2000);
+		c = pw_request(e, "POST", "/unsafe/", 2000);
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 200);
 		CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
@@ -334,14 +334,14 @@
 	pw_server_add("app", 0)->work_ms = 60; /* so that the silent one is asked */
 	e = pw_entry_ready();
 	for (i = 0; i < 3; i++) {
-		c = pw_ask(e, "GET", "/safe/", 3000);
+		c = pw_request(e, "GET", "/safe/", 3000);
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 200);
 		CU_ASSERT(pw_runs_of(c->id) <= 2);
 		twice += pw_runs_of(c->id) == 2;
 	}
 	CU_ASSERT(twice > 0);
-	c = pw_ask(e, "POST", "/unsafe/", 1500);
+	c = pw_request(e, "POST", "/unsafe/", 1500);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
 	pw_end();
@@ -358,9 +358,9 @@
 	dead = pw_server_add("app", 0);
 	pw_server_add("app", 0);
 	e = pw_entry_ready();
-	pw_server_die(dead);
+	pw_server_crash(dead);
 	for (i = 0; i < 8; i++) {
-		c = pw_ask(e, "POST", "/unsafe/", 2000);
+		c = pw_request(e, "POST", "/unsafe/", 2000);
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 200);
 	}
@@ -380,10 +380,10 @@
 	for (i = 0; i < 12; i++) s[i] = pw_server_add("llm", 1);
 	for (i = 0; i < 12; i++) s[i]->events = 3;
 	e = pw_entry_ready();
-	for (i = 0; i < 5; i++) pw_server_die(s[i]);
+	for (i = 0; i < 5; i++) pw_server_crash(s[i]);
 	began = clock_us();
 	for (i = 0; i < 12; i++) {
-		struct pw_call *c = pw_ask(e, "POST", "/chat/", 2000);
+		struct pw_call *c = pw_request(e, "POST", "/chat/", 2000);
 
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 200);
@@ -407,8 +407,8 @@
 	pw_init();
 	s = pw_server_add("app", 0);
 	e = pw_entry_ready();
-	fd = pw_server_deaf(s);
-	c = pw_ask(e, "POST", "/unsafe/", 150);
+	fd = pw_server_unreachable(s);
+	c = pw_request(e, "POST", "/unsafe/", 150);
 	CU_ASSERT(pw_call_wait(c, 1000));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT(g_ascii_strtod(c->retry_after, NULL) > 0);
@@ -426,10 +426,10 @@
 	s = pw_server_add("llm", 1);
 	s->events = 1000;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/chat/", 20000);
+	c = pw_request(e, "POST", "/chat/", 20000);
 	pw_run(200);
 	CU_ASSERT(c->events > 3);
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_run(200);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
 	CU_ASSERT(pw_run_of(c->id, 0)->cancelled);
@@ -448,7 +448,7 @@
 	pw_conf_write();
 	pw_server_add("app", 0)->mode = PW_HANG;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/unsafe/", 5000);
+	c = pw_request(e, "POST", "/unsafe/", 5000);
 	CU_ASSERT(pw_call_wait(c, 1000));
 	CU_ASSERT_EQUAL(c->status, 504);
 	CU_ASSERT(c->ended_us - c->began_us < 550000);
@@ -466,9 +466,9 @@
 	pw_init();
 	pw_server_add("llm", 1);
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/chat/", 5000);
+	c = pw_request(e, "POST", "/chat/", 5000);
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, 30));
+	CU_ASSERT(pw_stream_complete(c, 30));
 	CU_ASSERT(c->events > 20); /* passed on as they come */
 	pw_end();
 }
@@ -485,13 +485,13 @@
 	s[0]->mode = s[1]->mode = PW_BREAK;
 	s[0]->break_after = s[1]->break_after = 7;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/sum/", 5000);
+	c = pw_request(e, "POST", "/sum/", 5000);
 	pw_run(60);
 	s[0]->mode = s[1]->mode = PW_OK;
 	/* the one that runs breaks off by hand */
-	pw_server_die(pw_run_of(c->id, 0)->server);
+	pw_server_crash(pw_run_of(c->id, 0)->server);
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, 30));
+	CU_ASSERT(pw_stream_complete(c, 30));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	CU_ASSERT(atoi(pw_run_of(c->id, 1)->after) > 0);
 	pw_end();
@@ -508,7 +508,7 @@
 	s->mode = PW_BREAK;
 	s->break_after = 5;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/chat/", 5000);
+	c = pw_request(e, "POST", "/chat/", 5000);
 	CU_ASSERT(pw_call_wait(c, 3000));
 	CU_ASSERT(c->err != 0);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
--- a/test/test_repeats.c
+++ b/test/test_repeats.c
@@ -34,7 +34,7 @@
 	int i;
 
 	for (i = 0; i < INSTANCES * ASKED; i++) {
-		c[i] = pw_ask(e[i % INSTANCES], "POST", "/safe/", 3000);
+		c[i] = pw_request(e[i % INSTANCES], "POST", "/safe/", 3000);
 		requests++;
 		if (i % INSTANCES == 0) pw_run(5);
 	}
@@ -49,7 +49,7 @@
 		pw_entry_kill(e[i], SIGKILL);
 		pw_entry_wait(e[i], 1000);
 	}
-	for (i = 0; i < INSTANCES; i++) pw_entry_again(e[i]);
+	for (i = 0; i < INSTANCES; i++) pw_entry_restart(e[i]);
 	for (i = 0; i < INSTANCES; i++) CU_ASSERT(pw_entry_until_ready(e[i]));
 }
 
@@ -66,8 +66,8 @@
 		if (life) start_again(e);
 		ask_all(e);
 	}
-	CU_ASSERT(pw_repeats() <= RATIO * requests + SLACK);
-	fprintf(stderr, "%d repeats, %d requests\n", pw_repeats(), requests);
+	CU_ASSERT(pw_retries() <= RATIO * requests + SLACK);
+	fprintf(stderr, "%d repeats, %d requests\n", pw_retries(), requests);
 	pw_end();
 }
 
@@ -80,21 +80,21 @@
 	int i, fd;
 
 	pw_init();
-	pw_conf.aim_ms = 100;
+	pw_conf.target_latency_ms = 100;
 	pw_conf_write();
 	pw_settings("bounds.retryBudgetRatio=0\nbounds.budgetSlack=0\n");
 	deaf = pw_server_add("app", 0);
 	pw_server_add("app", 0);
 	e = pw_entry_ready();
-	fd = pw_server_deaf(deaf);
+	fd = pw_server_unreachable(deaf);
 	for (i = 0; i < 6; i++) {
-		c = pw_ask(e, "POST", "/safe/", 1000);
+		c = pw_request(e, "POST", "/safe/", 1000);
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 200);
 		CU_ASSERT(c->ended_us - c->began_us < 150000);
 	}
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_repeats_held_back_total"), 0);
-	CU_ASSERT_EQUAL(pw_repeats(), 0);
+	CU_ASSERT_EQUAL(pw_retries(), 0);
 	close(fd);
 	pw_end();
 }
@@ -114,11 +114,11 @@
 	e = pw_entry_ready();
 	other = pw_server_add("llm", 1);
 	other->copy_status = 503;
-	for (i = 0; i < STREAMS; i++) c[i] = pw_ask(e, "POST", "/chat/", 9000);
+	for (i = 0; i < STREAMS; i++) c[i] = pw_request(e, "POST", "/chat/", 9000);
 	pw_run(600);
 	for (i = 0; i < STREAMS; i++) streams += pw_run_at(first, c[i]->id) != NULL;
 	other->arrivals = 0;
-	pw_server_die(first);
+	pw_server_crash(first);
 	for (i = 0; i < STREAMS; i++) pw_call_wait(c[i], 3000);
 	CU_ASSERT(streams > 2);
 	CU_ASSERT(other->arrivals >= streams);
@@ -141,10 +141,10 @@
 		pw_entry_wait(e[i], 1000);
 	}
 	pw_run(2000); /* both are taken for dead */
-	pw_entry_again(e[1]);
+	pw_entry_restart(e[1]);
 	CU_ASSERT(pw_entry_until_ready(e[1]));
 	pw_run(1000);
-	pw_call_wait(pw_ask(e[1], "POST", "/safe/", 2000), 2000);
+	pw_call_wait(pw_request(e[1], "POST", "/safe/", 2000), 2000);
 	CU_ASSERT(pw_log_has(e[1], "\"part_permille\":333"));
 	pw_end();
 }
--- a/test/test_silent.c
+++ b/test/test_silent.c
@@ -68,13 +68,13 @@
 static void a_stream_leaves_a_silent_connection_before_its_run_is_over(void)
 {
 	struct pw_entry *e = begin();
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 4000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 4000);
 
 	pw_run(500);
 	CU_ASSERT_STRING_EQUAL(pw_run_of(c->id, 0)->backup, "");
 	fall_silent();
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, EVENTS));
+	CU_ASSERT(pw_stream_complete(c, EVENTS));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	end();
 }
@@ -87,12 +87,12 @@
 	int i;
 
 	for (i = 0; i < ENGINES; i++) engine[i]->work_ms = 50;
-	c = pw_ask(e, "POST", "/chat/", 4000);
+	c = pw_request(e, "POST", "/chat/", 4000);
 	pw_run(30);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
 	fall_silent();
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, EVENTS));
+	CU_ASSERT(pw_stream_complete(c, EVENTS));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	end();
 }
@@ -102,13 +102,13 @@
 static void a_stream_whose_repeat_is_held_back_leaves_a_silent_connection(void)
 {
 	struct pw_entry *e = begin_with("bounds.retryBudgetRatio=0\nbounds.budgetSlack=0\n");
-	struct pw_call *c = pw_ask(e, "POST", "/sum/", 4000);
+	struct pw_call *c = pw_request(e, "POST", "/sum/", 4000);
 
 	pw_run(500);
 	fall_silent();
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, EVENTS));
-	CU_ASSERT_EQUAL(pw_repeats(), 0);
+	CU_ASSERT(pw_stream_complete(c, EVENTS));
+	CU_ASSERT_EQUAL(pw_retries(), 0);
 	end();
 }
 
@@ -117,7 +117,7 @@
 static void a_stream_that_its_engine_holds_up_stays(void)
 {
 	struct pw_entry *e = begin();
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 4000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 4000);
 	struct pw_server *s;
 
 	pw_run(500);
@@ -127,7 +127,7 @@
 	s->event_ms = EVENT_MS;
 	CU_ASSERT(s->reports > 0);
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, EVENTS));
+	CU_ASSERT(pw_stream_complete(c, EVENTS));
 	CU_ASSERT_EQUAL(engine[0]->moves + engine[1]->moves, 0);
 	end();
 }
@@ -136,7 +136,7 @@
 static void a_stream_that_flows_asks_for_no_report(void)
 {
 	struct pw_entry *e = begin();
-	struct pw_call *c = pw_ask(e, "POST", "/chat/", 4000);
+	struct pw_call *c = pw_request(e, "POST", "/chat/", 4000);
 
 	CU_ASSERT(pw_call_wait(c, 3000));
 	CU_ASSERT_EQUAL(engine[0]->reports + engine[1]->reports, 0);
--- a/test/test_standby.c
+++ b/test/test_standby.c
@@ -19,7 +19,7 @@
 	for (i = 0; i < WIDE; i++) {
 		p[i] = pw_peer_new(e, 0);
 		p[i]->link_mbps = 100;
-		p[i]->takes_callers = 1;
+		p[i]->serving_callers = 1;
 		p[i]->store_up = store_up;
 	}
 	pw_run(2500);
@@ -30,7 +30,7 @@
 {
 	int i, n = 0;
 
-	for (i = 0; i < WIDE; i++) n += p[i]->beat_us >= since_us;
+	for (i = 0; i < WIDE; i++) n += p[i]->heartbeat_us >= since_us;
 	return n;
 }
 
@@ -38,7 +38,7 @@
 {
 	int i, n = 0;
 
-	for (i = 0; i < WIDE; i++) n += pw_where_names(e, p[i]->ip);
+	for (i = 0; i < WIDE; i++) n += pw_directory_has(e, p[i]->ip);
 	return n;
 }
 
@@ -52,7 +52,7 @@
 	int i;
 
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_active"), 0);
-	CU_ASSERT(!pw_where_names(e, e->ip));
+	CU_ASSERT(!pw_directory_has(e, e->ip));
 	CU_ASSERT_EQUAL(named(e, p), 16);
 	CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200); /* a caller with an older list */
 	pw_run(1500);
@@ -60,7 +60,7 @@
 	for (i = 0; i < 5; i++) pw_peer_stop(p[i]);
 	pw_run(2500);
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_active"), 1);
-	CU_ASSERT(pw_where_names(e, e->ip));
+	CU_ASSERT(pw_directory_has(e, e->ip));
 	CU_ASSERT_EQUAL(named(e, p), 15);
 	pw_peers_end();
 	pw_end();
@@ -84,7 +84,7 @@
 	for (i = 0; i < WIDE; i++) {
 		p[i] = pw_peer_new(e, 0);
 		p[i]->link_mbps = 100;
-		p[i]->takes_callers = p[i]->store_up = 1;
+		p[i]->serving_callers = p[i]->store_up = 1;
 	}
 	pw_run(1500);
 	CU_ASSERT_EQUAL(pw_store.calls, 0);
--- a/test/test_wait.c
+++ b/test/test_wait.c
@@ -26,7 +26,7 @@
 	int i;
 
 	for (i = 0; i < 10; i++)
-		CU_ASSERT(pw_call_wait(pw_ask(e, "POST", "/chat/", 5000), 2000));
+		CU_ASSERT(pw_call_wait(pw_request(e, "POST", "/chat/", 5000), 2000));
 }
 
 static void what_can_begin_in_time_waits_for_room(void)
@@ -38,7 +38,7 @@
 
 	learn_lengths(e);
 	s->events = 20; /* 200 ms, more than a quarter of the aim */
-	for (i = 0; i < 3; i++) c[i] = pw_ask(e, "POST", "/chat/", 5000);
+	for (i = 0; i < 3; i++) c[i] = pw_request(e, "POST", "/chat/", 5000);
 	pw_run(60);
 	CU_ASSERT_EQUAL(pw_runs_of(c[2]->id), 0);
 	CU_ASSERT_EQUAL(pw_metric(e, "saddlehead_waiting"), 1);
@@ -56,15 +56,15 @@
 	int i;
 
 	s->events = 400;
-	for (i = 0; i < 2; i++) c[i] = pw_ask(e, "POST", "/chat/", 9000);
+	for (i = 0; i < 2; i++) c[i] = pw_request(e, "POST", "/chat/", 9000);
 	pw_run(50); /* by their callers' hints they run on for longer than the aim */
-	c[2] = pw_ask(e, "POST", "/chat/", 9000);
+	c[2] = pw_request(e, "POST", "/chat/", 9000);
 	CU_ASSERT(pw_call_wait(c[2], 100));
 	CU_ASSERT_EQUAL(c[2]->status, 503);
 	CU_ASSERT_EQUAL(pw_runs_of(c[2]->id), 0);
 	CU_ASSERT(atof(c[2]->retry_after) >= 0.4);
 	CU_ASSERT(pw_log_has(e, "is foreseen in"));
-	for (i = 0; i < 2; i++) pw_call_leave(c[i]);
+	for (i = 0; i < 2; i++) pw_call_cancel(c[i]);
 	pw_end();
 }
 
@@ -77,13 +77,13 @@
 
 	learn_lengths(e);
 	s->events = 20;
-	c[0] = pw_ask(e, "POST", "/chat/", 5000);
+	c[0] = pw_request(e, "POST", "/chat/", 5000);
 	pw_run(100); /* room comes for one at a time */
-	c[1] = pw_ask(e, "POST", "/chat/", 5000);
+	c[1] = pw_request(e, "POST", "/chat/", 5000);
 	pw_run(20);
-	later = pw_ask(e, "POST", "/chat/", 5000);
+	later = pw_request(e, "POST", "/chat/", 5000);
 	pw_run(20);
-	urgent = pw_ask(e, "POST", "/sum/", 5000);
+	urgent = pw_request(e, "POST", "/sum/", 5000);
 	for (i = 0; i < 2; i++) CU_ASSERT(pw_call_wait(c[i], 2000));
 	CU_ASSERT(pw_call_wait(later, 2000));
 	CU_ASSERT(pw_call_wait(urgent, 2000));
@@ -104,7 +104,7 @@
 	pw_run(800);
 	s->mode = PW_SILENT;
 	s->break_after = 3;
-	for (i = 0; i < 2; i++) c[i] = pw_ask(e[i], "POST", "/chat/", 9000);
+	for (i = 0; i < 2; i++) c[i] = pw_request(e[i], "POST", "/chat/", 9000);
 	pw_run(200);
 	pw_server_add("llm", 1);
 	pw_server_add("llm", 1);
@@ -114,7 +114,7 @@
 		CU_ASSERT(!pw_log_has(e[i], "backend_ejected"));
 		CU_ASSERT(pw_metric(e[i], "saddlehead_preemptions_total") > 0);
 		CU_ASSERT(s->moves <= 6); /* not asked again and again */
-		pw_call_leave(c[i]);
+		pw_call_cancel(c[i]);
 	}
 	pw_end();
 }
