--- a/test/chaos.c
+++ b/test/chaos.c
@@ -1,3 +1,4 @@
+/* A chaos run: starts the fleet, callers and faults, and prints the result. */
 #include "chaos.h"
 #include "clock.h"
 #include <stdio.h>
@@ -28,7 +29,7 @@
 	}
 }
 
-/* The table's version at each instance may only go up, but for one that was started anew. */
+/* Counts decreases of the table version at an instance, other than after its restart. */
 static void *watch_versions(void *arg)
 {
 	struct chaos *c = arg;
@@ -71,7 +72,7 @@
 		pthread_create(&t[i], NULL, chaos_caller, &arg[i]);
 	}
 	chaos_faults(&c);
-	chaos_mend(&c);
+	chaos_end_faults(&c);
 	sleep(1);
 	c.over = 1;
 	for (i = 0; i < CHAOS_CALLERS; i++) pthread_join(t[i], NULL);
@@ -94,6 +95,6 @@
 
 int chaos_broken(const struct chaos_result *r)
 {
-	return r->twice + r->ran_though_not + r->missing + r->bad + r->went_back + r->apart +
-	       r->leftover;
+	return r->twice + r->ran_though_refused + r->missing + r->bad + r->went_back +
+	       r->diverged + r->leftover;
 }
--- a/test/chaos_caller.c
+++ b/test/chaos_caller.c
@@ -1,4 +1,4 @@
-/* A caller: asks, comes back where it was cut, and keeps what it was told. */
+/* A caller: sends requests, retries, resumes cut streams, and records the outcomes. */
 #include "chaos.h"
 #include "clock.h"
 #include <stdio.h>
@@ -15,11 +15,11 @@
 	pthread_mutex_unlock(&c->lock);
 }
 
-static void take_error(struct chaos_record *x, json_object *o, int *maybe)
+static void record_error(struct chaos_record *x, json_object *o, int *maybe)
 {
 	const char *ran = json_text_at(o, "error.ran"), *code = json_text_at(o, "error.code");
 
-	if (code) g_strlcpy(x->why, code, sizeof x->why);
+	if (code) g_strlcpy(x->last_code, code, sizeof x->last_code);
 	if (!ran || strcmp(ran, "no")) *maybe = 1;
 }
 
@@ -28,7 +28,7 @@
 	return json_tokener_parse(text);
 }
 
-/* Streams; after a cut it goes on with the last event's id at another daemon. */
+/* Reads a stream; after a cut, resumes it from the last event's id at a random entry. */
 static void stream(struct chaos *c, GRand *r, struct chaos_record *x)
 {
 	char last[256] = "", at[64], generation[16] = "";
@@ -57,8 +57,8 @@
 		x->bad |= s->done && next != n;
 		if (s->error) x->lost = 1;
 		o = s->status != 200 ? json_of(s->raw->str) : NULL;
-		if (s->status != 200) take_error(x, o, &maybe);
-		/* The generation is gone: its engine died, or nobody read it for too long. */
+		if (s->status != 200) record_error(x, o, &maybe);
+		/* The generation was lost: engine crash, or not read for too long. */
 		if (o && last[0] && json_text_at(o, "error.code") &&
 		    !strcmp(json_text_at(o, "error.code"), "stream_lost"))
 			x->lost = 1;
@@ -91,7 +91,7 @@
 			x->bad |= json_int_at(o, "usage.completion_tokens") != n ||
 				  !strstr(json_object_to_json_string(o), last);
 		} else {
-			take_error(x, o, &maybe);
+			record_error(x, o, &maybe);
 		}
 		json_object_put(o);
 		if (!x->whole) usleep(PAUSE_US);
@@ -100,7 +100,7 @@
 	g_free(body);
 }
 
-/* The key stays the same in every try: however often it is asked, it must run once. */
+/* All attempts use the same idempotency key, so the request must run at most once. */
 static void booking(struct chaos *c, GRand *r, struct chaos_record *x)
 {
 	char *idem = g_strdup_printf("Idempotency-Key: %s", x->tag), at[64];
@@ -116,7 +116,7 @@
 		if (status == 200)
 			x->whole = 1;
 		else
-			take_error(x, o, &maybe);
+			record_error(x, o, &maybe);
 		if (status != 200 && o && json_text_at(o, "error.code") &&
 		    !strcmp(json_text_at(o, "error.code"), "may_have_run"))
 			x->lost = 1;
--- a/test/chaos_check.c
+++ b/test/chaos_check.c
@@ -1,16 +1,16 @@
-/* What must always hold, from the stand-ins' journals and the callers' records. */
+/* Checks the system's guarantees, from the stand-ins' journals and the callers' records. */
 #include "chaos.h"
 #include <stdio.h>
 #include <string.h>
 
-static void broken(const struct chaos_record *x, const char *what)
+static void print_broken(const struct chaos_record *x, const char *what)
 {
 	static const char *const kinds[] = {"stream", "whole", "booking"};
 
-	printf("  broken: %s %s: %s (last: %s)\n", kinds[x->kind], x->tag, what, x->why);
+	printf("  broken: %s %s: %s (last: %s)\n", kinds[x->kind], x->tag, what, x->last_code);
 }
 
-/* Counts "WORD KEY ..." lines of every journal of a kind of process. */
+/* Counts the lines "WORD KEY ..." by key in all journals of a kind of process. */
 static GHashTable *read_journals(struct chaos *c, const char *kind, int n, const char *word)
 {
 	GHashTable *t = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -34,7 +34,7 @@
 	return t;
 }
 
-static int touched(const struct chaos *c, const struct chaos_record *x)
+static int affected(const struct chaos *c, const struct chaos_record *x)
 {
 	const struct chaos_window *w;
 	guint i;
@@ -50,15 +50,15 @@
 {
 	if (runs > 1) {
 		r->twice++;
-		broken(x, "ran more than once");
+		print_broken(x, "ran more than once");
 	}
 	if (runs && x->not_run) {
-		r->ran_though_not++;
-		broken(x, "ran, though every answer said \"not run\"");
+		r->ran_though_refused++;
+		print_broken(x, "ran, though every answer said \"not run\"");
 	}
 	if (!runs && x->whole) {
 		r->missing++;
-		broken(x, "answered, though it never ran");
+		print_broken(x, "answered, though it never ran");
 	}
 }
 
@@ -66,15 +66,15 @@
 {
 	if (x->bad) {
 		r->bad++;
-		broken(x, "out of order, mixed or not whole");
+		print_broken(x, "out of order, mixed or not whole");
 	}
 	if (starts && x->not_run) {
-		r->ran_though_not++;
-		broken(x, "was started, though every answer said \"not run\"");
+		r->ran_though_refused++;
+		print_broken(x, "was started, though every answer said \"not run\"");
 	}
 	if (!starts && x->whole) {
 		r->missing++;
-		broken(x, "answered, though nothing was started");
+		print_broken(x, "answered, though nothing was started");
 	}
 }
 
@@ -89,14 +89,15 @@
 		x = &g_array_index(c->records, struct chaos_record, i);
 		r->requests++;
 		r->whole += x->whole;
-		if (!touched(c, x)) {
+		if (!affected(c, x)) {
 			r->untouched++;
 			r->untouched_whole += x->whole;
-			if (!x->whole) broken(x, "not whole, though no fault touched it");
+			if (!x->whole) print_broken(x, "not whole, though no fault touched it");
 		}
 		if (!x->whole && !x->lost && !x->not_run) {
 			r->unsettled++;
-			if (c->verbose) broken(x, "never got a final answer in its tries");
+			if (c->verbose)
+				print_broken(x, "never got a final answer in its tries");
 		}
 		if (x->kind == CHAOS_BOOKING)
 			check_booking(r, x, GPOINTER_TO_INT(g_hash_table_lookup(runs, x->tag)));
@@ -108,7 +109,7 @@
 	g_hash_table_unref(starts);
 }
 
-static int all_together(void *arg)
+static int versions_agree(void *arg)
 {
 	struct chaos *c = arg;
 	int64_t first = fleet_table_version(c->admin[0]);
@@ -120,7 +121,7 @@
 	return 1;
 }
 
-static int nothing_left(void *arg)
+static int no_requests_left(void *arg)
 {
 	struct chaos *c = arg;
 	int k;
@@ -137,11 +138,11 @@
 	struct chaos_result r = {0};
 
 	check_records(c, &r);
-	if (await(all_together, c)) {
-		r.apart = 1;
+	if (await(versions_agree, c)) {
+		r.diverged = 1;
 		printf("  broken: the accepted table is not in force everywhere\n");
 	}
-	if (await(nothing_left, c)) {
+	if (await(no_requests_left, c)) {
 		r.leftover = 1;
 		printf("  broken: a keeper still counts requests that ended\n");
 	}
--- a/test/chaos_fault.c
+++ b/test/chaos_fault.c
@@ -1,4 +1,4 @@
-/* Faults drawn from the seed: what, to whom, for how long. */
+/* Faults drawn from the seed: kind, target and duration. */
 #include "chaos.h"
 #include "clock.h"
 #include <signal.h>
@@ -7,11 +7,11 @@
 #include <string.h>
 #include <unistd.h>
 
-#define AFTER_US 2000000 /* a fault may touch what comes so long after it */
+#define EFFECT_US 2000000 /* a fault may affect requests that begin this long after it */
 
-static void note(struct chaos *c, int64_t from, const char *what)
+static void record_fault(struct chaos *c, int64_t from, const char *what)
 {
-	struct chaos_window w = {.from_us = from, .to_us = clock_us() + AFTER_US};
+	struct chaos_window w = {.from_us = from, .to_us = clock_us() + EFFECT_US};
 
 	g_strlcpy(w.what, what, sizeof w.what);
 	g_array_append_val(c->windows, w);
@@ -62,7 +62,7 @@
 	g_free(cmd);
 }
 
-static int ended(struct chaos *c, const char *name)
+static int wait_ended(struct chaos *c, const char *name)
 {
 	int i;
 
@@ -82,11 +82,11 @@
 	snprintf(name, sizeof name, "entry%d", k + 1);
 	snprintf(what, sizeof what, "%s %s", how, name);
 	fleet_signal(c->f, name, sig);
-	if (!ended(c, name)) fprintf(stderr, "%s did not end\n", name);
+	if (!wait_ended(c, name)) fprintf(stderr, "%s did not end\n", name);
 	sleep_ms(draw(c, 1000));
 	restart(c, name);
 	read_ready(c, k);
-	note(c, from, what);
+	record_fault(c, from, what);
 }
 
 static void freeze_daemon(struct chaos *c)
@@ -99,7 +99,7 @@
 	fleet_signal(c->f, name, SIGSTOP);
 	sleep_ms(500 + draw(c, 3500));
 	fleet_signal(c->f, name, SIGCONT);
-	note(c, from, what);
+	record_fault(c, from, what);
 }
 
 static void kill_backend(struct chaos *c, const char *kind, int n)
@@ -110,10 +110,10 @@
 	snprintf(name, sizeof name, "%s%d", kind, draw(c, n) + 1);
 	snprintf(what, sizeof what, "kill %s", name);
 	fleet_signal(c->f, name, SIGKILL);
-	ended(c, name);
+	wait_ended(c, name);
 	sleep_ms(draw(c, 1500));
 	restart(c, name);
-	note(c, from, what);
+	record_fault(c, from, what);
 }
 
 static void with_fault(struct chaos *c, const char *address, const char *on, const char *off,
@@ -124,7 +124,7 @@
 	fleet_fault(address, on);
 	sleep_ms(ms);
 	fleet_fault(address, off);
-	note(c, from, on);
+	record_fault(c, from, on);
 }
 
 static void engine_fault(struct chaos *c)
@@ -162,7 +162,7 @@
 		   500 + draw(c, 2500));
 }
 
-/* Two operators at once, at different daemons. */
+/* One of two concurrent edits by operators; consecutive edits go to different daemons. */
 static void *operator_edits(void *arg)
 {
 	struct chaos *c = arg;
@@ -184,7 +184,7 @@
 	return NULL;
 }
 
-static void edit_twice(struct chaos *c)
+static void edit_concurrently(struct chaos *c)
 {
 	pthread_t t[2];
 	int i;
@@ -193,7 +193,7 @@
 	for (i = 0; i < 2; i++) pthread_join(t[i], NULL);
 }
 
-static void one_fault(struct chaos *c, int which)
+static void run_fault(struct chaos *c, int which)
 {
 	switch (which) {
 	case 0: stop_daemon(c, SIGKILL, "kill"); return;
@@ -227,16 +227,16 @@
 	while (clock_us() < end) {
 		int which = draw(c, 10), twice = draw(c, 4) == 0 && which < 8;
 
-		/* Now and then the platform fails together with something else. */
+		/* Some faults occur together with a fault of the platform. */
 		if (twice) pthread_create(&t, NULL, platform_thread, c);
-		one_fault(c, which);
+		run_fault(c, which);
 		if (twice) pthread_join(t, NULL);
-		edit_twice(c);
+		edit_concurrently(c);
 		sleep_ms(c->seconds > 20 ? 1000 + draw(c, 6000) : draw(c, 1000));
 	}
 }
 
-void chaos_mend(struct chaos *c)
+void chaos_end_faults(struct chaos *c)
 {
 	int i;
 
--- a/test/chaos_main.c
+++ b/test/chaos_main.c
@@ -1,4 +1,4 @@
-/* chaos SEED SECONDS: one run, told in full. Called by scripts/soak. */
+/* chaos SEED SECONDS: one run with verbose output. Called by scripts/soak. */
 #include "chaos.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/test/pw_peer.c
+++ b/test/pw_peer.c
@@ -15,9 +15,8 @@
 #define REQUEST_US 50000     /* between two requests of a peer that wants a copy */
 #define PACE_US 100000       /* between two parts of a copy that is sent in parts */
 #define MIN_COPY_BYTES 65536 /* bytes; heartbeats and load messages are smaller */
-#define RECEIVE_BYTES \
-	65536   /* kernel receive buffer: small, so that unread data stalls the sender */
-#define FETCH 9 /* type of a request that is answered on its own connection */
+#define RECEIVE_BYTES 65536  /* kernel buffer: small, so unread data stalls the sender */
+#define FETCH 9              /* type of a request that is answered on its own connection */
 
 struct pw_peer_cn {
 	struct cn cn;
@@ -304,8 +303,7 @@
 	return c == c->peer->asking;
 }
 
-#define ARRAY_OF_16_BITS \
-	0xdc /* msgpack prefix of an array of more than 15, before its length */
+#define ARRAY_OF_16_BITS 0xdc /* msgpack prefix of arrays over 15, before the length */
 
 /* The type follows the array's prefix of one or three bytes. */
 static int frame_type(const char *p)
@@ -315,9 +313,7 @@
 
 static void send_on_link(struct pw_peer *me);
 
-#define MIN_VERDICT_BYTES                                                            \
-	16 /* bytes: a frame that names a verdict has at least so many, others fewer \
-	    */
+#define MIN_VERDICT_BYTES 16 /* a frame of this length or more names a verdict */
 
 static void handle_small_frame(struct pw_peer_cn *c, const char *p, uint32_t len)
 {
--- a/test/soak.c
+++ b/test/soak.c
@@ -1,20 +1,20 @@
-/* A run of the soak: entries, servers and callers are started, then what is due is done. */
+/* A run of the soak: starts entries and servers, then runs callers and faults until the end. */
 #include "soak.h"
 #include "clock.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define TURN_MS 5        /* between looks at what is due */
-#define START_MS 1500    /* entries hear of each other and read the lists */
-#define LOOK_US 100000   /* between questions whether an entry is ready */
-#define SETTLE_MS 4000   /* after the last fault: what is under way ends */
-#define RECOVER_MS 12000 /* after the last fault all serve again */
-#define LATER_PORT 7400  /* of servers in later lives; before it are those of the first */
-#define STORE_PROXY 100  /* addresses: the ways of entries to the store ... */
-#define PEER_PROXY 120   /* ... and of the others to them */
+#define STEP_MS 5         /* between checks for due actions */
+#define START_MS 1500     /* entries connect to each other and read the lists */
+#define POLL_US 100000    /* between readiness checks of an entry */
+#define SETTLE_MS 4000    /* after the last fault, requests in flight end */
+#define RECOVER_MS 12000  /* after the last fault, all entries serve again */
+#define RESTART_PORT 7400 /* of restarted servers; lower ones: first incarnations */
+#define STORE_PROXY 100   /* first host of the entries' links to the store ... */
+#define PEER_PROXY 120    /* ... and of the links of other entries to them */
 
-static struct proxy *link_to(int ip, int port, const char *to_ip, int to_port)
+static struct proxy *add_proxy(int ip, int port, const char *to_ip, int to_port)
 {
 	struct sockaddr_in at, to;
 
@@ -29,16 +29,17 @@
 	char store_ip[32];
 
 	g_strlcpy(store_ip, pw_ip(PW_STORE_HOST), sizeof store_ip);
-	e->store = link_to(STORE_PROXY + i, PW_STORE, store_ip, PW_STORE);
+	e->store = add_proxy(STORE_PROXY + i, PW_STORE, store_ip, PW_STORE);
 	g_string_append_printf(more, "ipAddress=%s\n", pw_ip(PEER_PROXY + i));
 	g_string_append_printf(more, "seedNodes=%s:1\n", pw_ip(PEER_PROXY));
 	g_string_append_printf(more, "platform.address=%s:%d\n", pw_ip(STORE_PROXY + i),
 			       PW_STORE);
-	/* A narrow link hands on one copy at a time, and leaves watching to wide ones. */
+	/* A narrow link: serves one copy at a time, leaves watches to entries with wide ones.
+	 */
 	g_string_append_printf(more, "limits.linkMbps=%s\n", i % 2 ? "200.0" : "10.0");
 	pw_settings(more->str);
 	e->pw = pw_entry_start();
-	e->peers = link_to(PEER_PROXY + i, PW_PEER, e->pw->ip, PW_PEER);
+	e->peers = add_proxy(PEER_PROXY + i, PW_PEER, e->pw->ip, PW_PEER);
 	g_string_free(more, TRUE);
 }
 
@@ -50,7 +51,7 @@
 	pw_init();
 	s->seed = seed;
 	s->kinds = kinds;
-	s->next_port = LATER_PORT;
+	s->next_port = RESTART_PORT;
 	if (kinds != SOAK_FIRST_KINDS) pw_entry_program = "test/entry_jump";
 	s->rand = g_rand_new_with_seed(seed);
 	s->calls = g_ptr_array_new_with_free_func(g_free);
@@ -72,15 +73,15 @@
 static void run_until(struct soak *s, int64_t until_us)
 {
 	while (clock_us() < until_us) {
-		soak_turn_faults(s);
-		soak_turn_callers(s);
-		soak_turn_crasher(s);
-		soak_turn_versions(s);
-		pw_run(TURN_MS);
+		soak_step_faults(s);
+		soak_step_callers(s);
+		soak_step_crasher(s);
+		soak_step_versions(s);
+		pw_run(STEP_MS);
 	}
 }
 
-static int came_whole(const struct soak_call *k)
+static int succeeded(const struct soak_call *k)
 {
 	return k->c->status == 200 && !k->c->err;
 }
@@ -90,18 +91,18 @@
 	return pw_get(e->pw->ip, PW_READY, "/-/readiness", NULL) == 200;
 }
 
-/* 1, or 0 when the request was not served. */
+/* Waits for the call; returns 1 if it was served. */
 static int was_served(struct soak_call *k)
 {
 	pw_call_wait(k->c, (int)k->limit_ms);
-	if (came_whole(k)) return 1;
+	if (succeeded(k)) return 1;
 	printf("  BROKEN not served again: entry %d kind %d status %d err %d\n", k->entry,
 	       k->kind, k->c->status, k->c->err);
 	return 0;
 }
 
-/* One of each kind at each entry, once all are ready; how many were not served. */
-static int not_served_again(struct soak *s)
+/* Sends a request of each kind to each entry once all are ready; returns how many failed. */
+static int count_not_served(struct soak *s)
 {
 	int64_t until = clock_us() + RECOVER_MS * 1000LL;
 	uint32_t first, i;
@@ -110,7 +111,7 @@
 
 	for (i = 0; i < SOAK_ENTRIES; i++)
 		while (!is_ready(&s->entry[i]) && clock_us() < until)
-			run_until(s, clock_us() + LOOK_US);
+			run_until(s, clock_us() + POLL_US);
 	first = s->calls->len;
 	for (i = 0; i < SOAK_ENTRIES; i++)
 		for (kind = 0; kind < SOAK_KINDS; kind++) soak_send(s, kind, (int)i, 0);
@@ -119,11 +120,11 @@
 	return bad;
 }
 
-static uint32_t count_whole(const struct soak *s)
+static uint32_t count_succeeded(const struct soak *s)
 {
 	uint32_t i, n = 0;
 
-	for (i = 0; i < s->calls->len; i++) n += came_whole(g_ptr_array_index(s->calls, i));
+	for (i = 0; i < s->calls->len; i++) n += succeeded(g_ptr_array_index(s->calls, i));
 	return n;
 }
 
@@ -157,12 +158,12 @@
 
 	start(&s, seed, seconds, kinds);
 	run_until(&s, s.end_us);
-	soak_mend(&s);
+	soak_end_faults(&s);
 	run_until(&s, clock_us() + SETTLE_MS * 1000LL);
-	broken = not_served_again(&s);
+	broken = count_not_served(&s);
 	broken += soak_check(&s);
 	printf("seed %u: %u requests, %u whole, %u faults, broken promises %d\n", seed,
-	       s.calls->len, count_whole(&s), s.faults->len, broken);
+	       s.calls->len, count_succeeded(&s), s.faults->len, broken);
 	finish(&s, broken);
 	return broken;
 }
--- a/test/soak_caller.c
+++ b/test/soak_caller.c
@@ -1,11 +1,11 @@
-/* Callers of the soak: a fixed number of requests at once, some of which are left. */
+/* Callers of the soak: a fixed number of concurrent requests, some of which are abandoned. */
 #include "clock.h"
 #include "soak.h"
 
-#define LEAVES_IN 12         /* one caller in so many leaves before the end */
-#define OTHER_KEY_IN 4       /* one in so many uses a key that may be taken away */
-#define REST_US 100000       /* before the next request, where there was no answer */
-#define PATIENCE_US 1200000  /* beyond the deadline */
+#define DISCONNECT_IN 12     /* one caller in so many disconnects early */
+#define OTHER_KEY_IN 4       /* one in so many uses a key that may be revoked */
+#define PAUSE_US 100000      /* before the next request after one without an answer */
+#define GIVE_UP_US 1200000   /* a caller waits so long beyond the deadline */
 #define STREAM_LIMIT_MS 8000 /* callers' deadlines */
 #define CALL_LIMIT_MS 2000
 
@@ -42,42 +42,42 @@
 	int entry = g_rand_int_range(s->rand, 0, SOAK_ENTRIES), key = 0;
 	struct soak_call *k;
 
-	/* The one in force, or the one that was taken away last. */
+	/* The valid key, or the one that was revoked last. */
 	if (!g_rand_int_range(s->rand, 0, OTHER_KEY_IN))
 		key = MAX(s->key - g_rand_int_range(s->rand, 0, 2), 1);
 	k = soak_send(s, kind, entry, key);
-	if (!g_rand_int_range(s->rand, 0, LEAVES_IN))
-		k->leaves_us = k->sent_us + g_rand_int_range(s->rand, 1000, 1000000);
+	if (!g_rand_int_range(s->rand, 0, DISCONNECT_IN))
+		k->disconnect_us = k->sent_us + g_rand_int_range(s->rand, 1000, 1000000);
 	return k;
 }
 
-/* No answer long after its deadline: the caller goes, and the check is told. */
+/* Disconnects and records the failure if there is no answer long after the deadline. */
 static void give_up(struct soak_call *k, int64_t now)
 {
-	if (now < k->sent_us + k->limit_ms * 1000 + PATIENCE_US) return;
+	if (now < k->sent_us + k->limit_ms * 1000 + GIVE_UP_US) return;
 	k->gave_up = 1;
 	pw_call_cancel(k->c);
 	k->c->ended_us = now;
 }
 
-static void turn(struct soak *s, struct soak_call **slot)
+static void step_slot(struct soak *s, struct soak_call **slot)
 {
 	struct soak_call *k = *slot;
 	int64_t now = clock_us();
 
-	if (k && !k->c->ended && k->leaves_us && now >= k->leaves_us) {
+	if (k && !k->c->ended && k->disconnect_us && now >= k->disconnect_us) {
 		k->left = 1;
 		pw_call_cancel(k->c);
 		k->c->ended_us = now;
 	}
 	if (k && !k->c->ended) give_up(k, now);
-	if (k && k->c->ended && !k->c->status && now < k->c->ended_us + REST_US) return;
+	if (k && k->c->ended && !k->c->status && now < k->c->ended_us + PAUSE_US) return;
 	if (!k || k->c->ended) *slot = now < s->end_us ? next_call(s) : NULL;
 }
 
-void soak_turn_callers(struct soak *s)
+void soak_step_callers(struct soak *s)
 {
 	int i;
 
-	for (i = 0; i < SOAK_CALLERS; i++) turn(s, &s->slot[i]);
+	for (i = 0; i < SOAK_CALLERS; i++) step_slot(s, &s->slot[i]);
 }
--- a/test/soak_check.c
+++ b/test/soak_check.c
@@ -1,19 +1,19 @@
-/* What callers and backend servers saw, against what must always hold. */
+/* Checks the observations of callers and backend servers against the system's guarantees. */
 #include "clock.h"
 #include "soak.h"
 #include <stdio.h>
 #include <string.h>
 
-#define TOUCH_US 3500000  /* after trouble, until what is bound by time is held to it */
-#define REVOKE_US 5000000 /* as the entries' settings have it */
-#define DRAIN_US 2000000  /* the same: a leaving server gets nothing new after it */
-#define APPLY_US 2000000  /* an accepted configuration is in force */
-#define CANCEL_US 500000  /* work for a caller that left ends */
-#define SLACK_US 300000   /* a busy machine: eight processes and this one */
-#define FINAL_MS 500      /* after its deadline a request has its final answer */
+#define EFFECT_US 3500000 /* after a fault, until time bounds are checked again */
+#define REVOKE_US 5000000 /* as in the entries' settings */
+#define DRAIN_US 2000000  /* the same: after it a leaving server gets no new requests */
+#define APPLY_US 2000000  /* until an accepted configuration is in force */
+#define CANCEL_US 500000  /* until work for a caller that disconnected ends */
+#define SLACK_US 300000   /* tolerance for a busy machine: eight processes and this one */
+#define FINAL_MS 500      /* after its deadline, until a request has its final answer */
 #define ROUTE_MS 5000     /* the routes' time-out */
-#define ATTEMPTS 2        /* of what may run again */
-#define LOOK_US 100000    /* between two looks at versions; a part of it counts as late */
+#define ATTEMPTS 2        /* of requests that may run again */
+#define POLL_US 100000    /* between two checks of versions; one may be seen this much late */
 
 static GHashTable *runs; /* id -> GPtrArray of struct pw_run */
 
@@ -49,19 +49,19 @@
 
 static int overlaps(const struct soak_fault *f, int64_t from, int64_t to)
 {
-	return f->from_us <= to && f->to_us + TOUCH_US >= from;
+	return f->from_us <= to && f->to_us + EFFECT_US >= from;
 }
 
-/* A server that turns all away is trouble as any that misbehaves: a stream whose memory is
- * there alone is lost. */
+/* A server in back-off refuses all requests and counts as an unplanned fault: a stream whose
+ * memory is only there is lost. */
 static int is_planned(const struct soak_fault *f)
 {
-	if (f->kind == SOAK_NOTICE) return soak_notice_of(f) != SOAK_SAYS_REST;
+	if (f->kind == SOAK_NOTICE) return soak_notice_of(f) != SOAK_NOTICE_BACKOFF;
 	return f->kind < SOAK_FIRST_UNPLANNED || f->kind == SOAK_GROW;
 }
 
-/* No unplanned trouble lately and until then, but of this kind. */
-static int calm_but(const struct soak *s, enum soak_fault_kind but, int64_t from, int64_t to)
+/* Whether no unplanned fault but of this kind was active in the period or shortly before. */
+static int calm_except(const struct soak *s, enum soak_fault_kind but, int64_t from, int64_t to)
 {
 	uint32_t i;
 
@@ -76,15 +76,15 @@
 
 static int calm(const struct soak *s, int64_t from, int64_t to)
 {
-	return calm_but(s, SOAK_FAULT_KINDS, from, to);
+	return calm_except(s, SOAK_FAULT_KINDS, from, to);
 }
 
 int soak_was_calm(const struct soak *s, int64_t from_us, int64_t to_us)
 {
-	return calm_but(s, SOAK_CRASHER, from_us, to_us);
+	return calm_except(s, SOAK_CRASHER, from_us, to_us);
 }
 
-static int entry_touched(const struct soak *s, int entry, int64_t from, int64_t to)
+static int entry_affected(const struct soak *s, int entry, int64_t from, int64_t to)
 {
 	uint32_t i;
 
@@ -99,7 +99,7 @@
 	return 0;
 }
 
-static void tell(const struct soak *s, const struct soak_call *k, const char *what)
+static void print_call(const struct soak *s, const struct soak_call *k, const char *what)
 {
 	uint32_t i;
 
@@ -118,7 +118,7 @@
 	}
 }
 
-static int at_most_as_often(const struct soak_call *k)
+static int attempts_in_bounds(const struct soak_call *k)
 {
 	uint32_t i, n = 0, most = k->kind == SOAK_CHAT || k->kind == SOAK_UNSAFE ? 1 : ATTEMPTS;
 
@@ -126,12 +126,12 @@
 	return n <= most;
 }
 
-static int promised_not_run(int status)
+static int refused_as_not_run(int status)
 {
 	return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
-static int sound_stream(const struct soak_call *k)
+static int stream_correct(const struct soak_call *k)
 {
 	GString *want = g_string_new(NULL);
 	int i, ok;
@@ -145,26 +145,26 @@
 	return ok;
 }
 
-static int sound_answer(const struct soak_call *k)
+static int answer_correct(const struct soak_call *k)
 {
 	char want[96];
 
 	if (k->c->status != 200) return 1;
 	if (!k->c->signature[0]) return 0;
-	if (k->kind <= SOAK_SUM) return sound_stream(k);
+	if (k->kind <= SOAK_SUM) return stream_correct(k);
 	g_snprintf(want, sizeof want, "answer to %s", k->c->id);
 	if (k->c->err || k->left || k->gave_up) return g_str_has_prefix(want, k->c->body->str);
 	return !strcmp(want, k->c->body->str);
 }
 
-static int key_holds(const struct soak *s, const struct soak_call *k)
+static int revocation_in_force(const struct soak *s, const struct soak_call *k)
 {
-	int64_t gone = k->key ? s->key_gone_us[k->key] : 0;
+	int64_t gone = k->key ? s->key_revoked_us[k->key] : 0;
 
 	return !gone || k->sent_us <= gone + REVOKE_US || !count_runs(k->c->id);
 }
 
-static int was_ended_for_its_caller(const struct soak *s, const struct soak_call *k)
+static int cancelled_with_caller(const struct soak *s, const struct soak_call *k)
 {
 	int64_t left = k->c->ended_us, most = left + CANCEL_US + SLACK_US;
 	uint32_t i;
@@ -178,33 +178,33 @@
 	return 1;
 }
 
-static int came_in_time(const struct soak *s, const struct soak_call *k)
+static int answered_in_time(const struct soak *s, const struct soak_call *k)
 {
 	int64_t most = k->sent_us + (MIN(k->limit_ms, ROUTE_MS) + FINAL_MS) * 1000 + SLACK_US;
 
-	if (k->left || entry_touched(s, k->entry, k->sent_us, most)) return 1;
+	if (k->left || entry_affected(s, k->entry, k->sent_us, most)) return 1;
 	return k->c->ended && !k->gave_up && k->c->ended_us <= most;
 }
 
-/* In calm times what was begun is answered whole, or refused as not run; a process that ends
- * may leave what it has not read. Streams go on where connections fell silent. */
-static int was_not_cut(const struct soak *s, const struct soak_call *k)
+/* In calm periods a request is answered completely or refused as not run; a process that exits
+ * may leave requests that it hasn't read. Streams continue although connections fell silent. */
+static int not_cut_when_calm(const struct soak *s, const struct soak_call *k)
 {
 	enum soak_fault_kind but = k->kind <= SOAK_SUM ? SOAK_SILENCE : SOAK_FAULT_KINDS;
 
-	if (k->left || k->key || !calm_but(s, but, k->sent_us, k->c->ended_us)) return 1;
+	if (k->left || k->key || !calm_except(s, but, k->sent_us, k->c->ended_us)) return 1;
 	if (k->c->status == 200 && !k->c->err) return 1;
-	if (promised_not_run(k->c->status)) return k->c->retry_after[0] != '\0';
+	if (refused_as_not_run(k->c->status)) return k->c->retry_after[0] != '\0';
 	return !k->c->status && !count_runs(k->c->id);
 }
 
-static int was_not_denied(const struct soak_call *k)
+static int not_denied(const struct soak_call *k)
 {
 	return k->key || (k->c->status != 401 && k->c->status != 403 && k->c->status != 404 &&
 			  k->c->status != 400);
 }
 
-/* No work for servers that leave. */
+/* Leaving servers get no new requests. */
 static int avoided_leaving(const struct soak *s, const struct soak_call *k)
 {
 	uint32_t i;
@@ -232,8 +232,8 @@
 	return 1;
 }
 
-/* Servers end under one request; it is none of these. */
-static int was_not_blamed(const struct soak_call *k)
+/* The request that crashes servers is none of these, so none may be refused for it. */
+static int not_quarantined(const struct soak_call *k)
 {
 	return !strstr(k->c->body->str, "crashes_engines");
 }
@@ -242,22 +242,22 @@
 {
 	const char *what = NULL;
 
-	if (!at_most_as_often(k)) what = "ran too often";
-	if (promised_not_run(k->c->status) && count_runs(k->c->id)) what = "ran though not";
-	if (!sound_answer(k)) what = "answer";
-	if (!key_holds(s, k)) what = "key that was taken away";
-	if (!was_not_denied(k)) what = "denied";
-	if (!came_in_time(s, k)) what = "no final answer in time";
-	if (!was_ended_for_its_caller(s, k)) what = "work for a caller that left";
-	if (!was_not_cut(s, k)) what = "cut in calm times";
+	if (!attempts_in_bounds(k)) what = "ran too often";
+	if (refused_as_not_run(k->c->status) && count_runs(k->c->id)) what = "ran though not";
+	if (!answer_correct(k)) what = "answer";
+	if (!revocation_in_force(s, k)) what = "key that was taken away";
+	if (!not_denied(k)) what = "denied";
+	if (!answered_in_time(s, k)) what = "no final answer in time";
+	if (!cancelled_with_caller(s, k)) what = "work for a caller that left";
+	if (!not_cut_when_calm(s, k)) what = "cut in calm times";
 	if (!avoided_leaving(s, k)) what = "sent to a server that left";
-	if (!was_not_blamed(k)) what = "blamed for ends of servers";
+	if (!not_quarantined(k)) what = "blamed for ends of servers";
 	if (!followed_the_route(s, k)) what = "old route";
-	if (what) tell(s, k, what);
+	if (what) print_call(s, k, what);
 	return what != NULL;
 }
 
-static void look_at(struct soak *s, int entry)
+static void record_versions(struct soak *s, int entry)
 {
 	double now = pw_metric(s->entry[entry].pw, "saddlehead_table_version");
 	uint32_t i;
@@ -269,20 +269,20 @@
 	}
 }
 
-void soak_turn_versions(struct soak *s)
+void soak_step_versions(struct soak *s)
 {
 	int i;
 
-	if (clock_us() < s->versions_us + LOOK_US) return;
+	if (clock_us() < s->versions_us + POLL_US) return;
 	s->versions_us = clock_us();
 	for (i = 0; i < SOAK_ENTRIES; i++) {
 		const struct soak_entry *e = &s->entry[i];
 
-		if (!e->down && !e->frozen && !e->stopping) look_at(s, i);
+		if (!e->down && !e->frozen && !e->stopping) record_versions(s, i);
 	}
 }
 
-/* A version that was written while nothing was wrong is in force at all that run. */
+/* A version that was written in a calm period is in force at all running entries in time. */
 static int check_version(const struct soak *s, const struct soak_version *v)
 {
 	int64_t most = v->written_us + APPLY_US + SLACK_US;
@@ -290,7 +290,7 @@
 
 	if (!calm(s, v->written_us, most)) return 0;
 	for (i = 0; i < SOAK_ENTRIES; i++) {
-		if (entry_touched(s, i, v->written_us, most)) continue;
+		if (entry_affected(s, i, v->written_us, most)) continue;
 		if (v->seen_us[i] && v->seen_us[i] <= most) continue;
 		bad++;
 		printf("  BROKEN version late: %d at entry %d written at %.3f seen at %.3f\n",
--- a/test/soak_crash.c
+++ b/test/soak_crash.c
@@ -1,15 +1,15 @@
-/* The soak's request that ends whatever runs it: its caller tries again and again, at any
- * entry. */
+/* The soak's request that crashes the servers that run it: its caller retries at random
+ * entries. */
 #include "clock.h"
 #include "soak.h"
 #include <stdio.h>
 #include <string.h>
 
-#define TRY_US 150000      /* between its tries */
-#define AFTER_MS 40        /* a server that begins to run it ends so much later */
-#define CONTACT_US 3000000 /* after its third end every entry knows */
-#define SLACK_US 300000    /* a busy machine */
-#define RUNS_MOST 3        /* that may come to servers after that */
+#define RETRY_US 150000    /* between its attempts */
+#define AFTER_MS 40        /* from the start of a run to the server's crash */
+#define VERDICT_US 3000000 /* after the third crash, until every entry has the verdict */
+#define SLACK_US 300000    /* tolerance for a busy machine */
+#define MAX_RUNS 3         /* allowed to reach servers after that */
 
 static struct soak *running; /* one soak at a time runs in a process */
 
@@ -24,14 +24,14 @@
 
 	if (pw_crash.third_crash_us) last(running)->third_crash_us = pw_crash.third_crash_us;
 	for (i = 0; i < running->nservers; i++)
-		if (running->server[i].pw == pw) soak_end_server(running, &running->server[i]);
+		if (running->server[i].pw == pw) soak_crash_now(running, &running->server[i]);
 }
 
 void soak_crasher_begin(struct soak *s)
 {
 	struct soak_crasher c = {.from_us = clock_us()};
 
-	if (pw_crash.body) return; /* one is under way */
+	if (pw_crash.body) return; /* one is active */
 	running = s;
 	g_snprintf(c.body, sizeof c.body, "ends servers %u", s->crashers->len);
 	g_array_append_val(s->crashers, c);
@@ -43,18 +43,18 @@
 {
 	if (!pw_crash.body) return;
 	last(s)->over = 1;
-	/* A run of it that is under way still ends its server, which is to be known here. */
+	/* A run in flight still crashes its server, which must be recorded here. */
 	pw_crash = (struct pw_crash){.end = end_server};
 }
 
-void soak_turn_crasher(struct soak *s)
+void soak_step_crasher(struct soak *s)
 {
 	int64_t now = clock_us();
 	char fields[160];
 	static int serial;
 
 	if (!pw_crash.body || now < last(s)->next_us) return;
-	last(s)->next_us = now + TRY_US;
+	last(s)->next_us = now + RETRY_US;
 	g_snprintf(fields, sizeof fields,
 		   "X-Request-Id: crasher-%d\r\nX-Credential: k1\r\nX-Deadline-Ms: 2000\r\n"
 		   "X-Token-Usage: 1000,40\r\n",
@@ -65,7 +65,7 @@
 
 static int check(const struct soak *s, const struct soak_crasher *c)
 {
-	int64_t most = c->third_crash_us + CONTACT_US + SLACK_US;
+	int64_t most = c->third_crash_us + VERDICT_US + SLACK_US;
 	uint32_t i;
 	int n = 0;
 
@@ -75,9 +75,9 @@
 		if (strcmp(r->body_sum, c->body) || r->began_us <= most) continue;
 		n += soak_was_calm(s, c->third_crash_us, r->began_us);
 	}
-	if (n > RUNS_MOST)
+	if (n > MAX_RUNS)
 		printf("  BROKEN a request that ended three servers came to %d more\n", n);
-	return n > RUNS_MOST;
+	return n > MAX_RUNS;
 }
 
 int soak_check_crasher(const struct soak *s)
--- a/test/soak_draw.c
+++ b/test/soak_draw.c
@@ -1,19 +1,19 @@
-/* The soak's faults are drawn from the seed: in bursts, with calm between them. */
+/* Draws the soak's faults from the seed: in bursts, with calm periods between them. */
 #include "soak.h"
 
-#define CYCLE_US 7000000   /* a burst, and calm long enough for what must hold in calm times */
-#define BURST_US 1500000   /* within it the faults of a burst begin */
-#define LONGEST_US 2500000 /* of a fault: calm is left after it in its cycle */
-#define SHORTEST_US 200000 /* the same: some connections and calls fall into it */
-#define LONG_IN 8          /* one fault in so many outlasts what beliefs may be old: 5 s */
-#define LONG_US 6000000    /* so much longer does it last */
-#define BURST_MOST 6       /* faults of one burst */
-#define GROWN_US 2000000   /* a large configuration stays at least so long, and is ... */
-#define CHANGE_US 500000   /* ... changed no earlier than so long after it came ... */
-#define CHANGED_US 1500000 /* ... and no later than so long */
-#define LATER_IN 3         /* each of the kinds that came last is in one burst of so many */
-#define ALONE_US 4500000   /* after a burst of planned faults */
-#define FIRST_US 1000000   /* from the start to the first burst: calls are under way by then */
+#define CYCLE_US 7000000   /* a burst, and a calm period long enough for its checks */
+#define BURST_US 1500000   /* the faults of a burst begin within this time */
+#define LONGEST_US 2500000 /* of a fault: leaves a calm period in its cycle */
+#define SHORTEST_US 200000 /* of a fault: long enough to affect some connections and calls */
+#define LONG_IN 8       /* one fault in so many outlasts the maximum age of cached state, 5 s */
+#define LONG_US 6000000 /* by which it is extended */
+#define MAX_BURST 6     /* faults in one burst */
+#define GROWN_US 2000000   /* a large configuration stays at least this long, and is ... */
+#define CHANGE_US 500000   /* ... changed no earlier than this after it was written ... */
+#define CHANGED_US 1500000 /* ... and no later than this */
+#define LATER_IN 3         /* each kind of draw_later is in one burst of so many */
+#define SILENCE_DELAY_US 4500000 /* silence after a burst of planned faults */
+#define FIRST_US 1000000 /* from the start to the first burst: calls are in flight by then */
 
 static const char *const names[SOAK_FAULT_KINDS] = {"planned stop",
 						    "engine leaves",
@@ -65,8 +65,9 @@
 	g_array_append_val(s->faults, f);
 }
 
-/* A large configuration, and a small change while copies of it may still be under way.
- * Connections go silent among other faults, or when what planned ones did has been seen. */
+/* Draws a large configuration, and a small change while copies of it may still be in flight.
+ * Connections go silent among other faults, or, in a burst of planned ones, after their effects
+ * have been checked. */
 static void draw_more(struct soak *s, GRand *rand, int64_t burst_us, int only_planned)
 {
 	int64_t at;
@@ -78,12 +79,13 @@
 		add(s, SOAK_ROUTES, at, at, 0);
 	}
 	if (!g_rand_boolean(rand)) return;
-	at = burst_us + g_rand_int_range(rand, 0, BURST_US) + (only_planned ? ALONE_US : 0);
+	at = burst_us + g_rand_int_range(rand, 0, BURST_US) +
+	     (only_planned ? SILENCE_DELAY_US : 0);
 	add(s, SOAK_SILENCE, at, at, g_rand_int_range(rand, 0, 1 << 16));
 }
 
-/* Each in some bursts: a request that ends servers goes on into the calm, the others end as all
- * do. */
+/* Draws the newer kinds, each in some bursts. A request that crashes servers may continue in
+ * the calm period; the others end before it. */
 static void draw_later(struct soak *s, GRand *rand, int64_t burst_us)
 {
 	enum soak_fault_kind k;
@@ -99,7 +101,7 @@
 	}
 }
 
-/* Long enough for a limit to be counted. */
+/* Notices last long enough to count the requests under a rate limit. */
 static void draw_notices(struct soak *s, GRand *rand, int64_t burst_us)
 {
 	int64_t at = burst_us + g_rand_int_range(rand, 0, BURST_US);
@@ -112,15 +114,15 @@
 
 void soak_draw_faults(struct soak *s, int seconds)
 {
-	GRand *more = g_rand_new_with_seed(s->seed);   /* what s->rand draws stays as it is */
-	GRand *later = g_rand_new_with_seed(~s->seed); /* the same of more */
-	GRand *notices = g_rand_new_with_seed(s->seed + 1); /* and of later */
+	GRand *more = g_rand_new_with_seed(s->seed);   /* leaves s->rand's draws as they are */
+	GRand *later = g_rand_new_with_seed(~s->seed); /* nor those of more */
+	GRand *notices = g_rand_new_with_seed(s->seed + 1); /* nor those of later */
 	int64_t at;
 	int i, n, only_planned;
 
 	s->faults = g_array_new(FALSE, TRUE, sizeof(struct soak_fault));
 	for (at = FIRST_US; at + CYCLE_US / 2 < seconds * 1000000LL; at += CYCLE_US) {
-		n = g_rand_int_range(s->rand, 1, BURST_MOST + 1);
+		n = g_rand_int_range(s->rand, 1, MAX_BURST + 1);
 		only_planned = g_rand_boolean(s->rand);
 		for (i = 0; i < n; i++) draw_one(s, s->began_us + at, only_planned);
 		draw_more(s, more, s->began_us + at, only_planned);
--- a/test/soak_fault.c
+++ b/test/soak_fault.c
@@ -1,12 +1,12 @@
-/* Faults of the soak begin and end when their time has come. */
+/* Begins and ends the faults of the soak at their times. */
 #include "clock.h"
 #include "soak.h"
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
 
-#define RELIST_US 1500000 /* after the store is back, entries that lapsed are, too */
-#define GROWN_ROUTES 1500 /* some 0.3 MB: far more than is passed on unasked */
+#define RELIST_US 1500000 /* from the recovery of the store until lapsed entries are listed */
+#define GROWN_ROUTES 1500 /* about 0.3 MB: far more than is forwarded without a request */
 
 static void write_conf(struct soak *s)
 {
@@ -31,10 +31,10 @@
 
 static void change_keys(struct soak *s)
 {
-	if (s->key + 1 >= (int)G_N_ELEMENTS(s->key_gone_us)) return;
+	if (s->key + 1 >= (int)G_N_ELEMENTS(s->key_revoked_us)) return;
 	s->key++;
 	write_conf(s);
-	s->key_gone_us[s->key - 1] = clock_us();
+	s->key_revoked_us[s->key - 1] = clock_us();
 }
 
 static void move_route(struct soak *s)
@@ -61,7 +61,7 @@
 	pw_entry_kill(e->pw, sig);
 }
 
-/* Those to the store, between entries or to servers, or several of these kinds. */
+/* Silences connections; bits of which: to the store, between entries, to servers. */
 static void silence(struct soak *s, int which)
 {
 	int i;
@@ -86,29 +86,29 @@
 
 	switch (f->kind) {
 	case SOAK_TERM: signal_entry(e, SIGTERM); return;
-	case SOAK_LEAVE: soak_leave(s, f); return;
+	case SOAK_LEAVE: soak_retire_server(s, f); return;
 	case SOAK_KEYS: change_keys(s); return;
 	case SOAK_ROUTES: move_route(s); return;
 	case SOAK_KILL: signal_entry(e, SIGKILL); return;
 	case SOAK_FREEZE: signal_entry(e, SIGSTOP); return;
-	case SOAK_DIE: soak_crash_server(s, f); return;
+	case SOAK_CRASH: soak_crash_server(s, f); return;
 	case SOAK_STORE: set_store(f->variant); return;
 	case SOAK_LAPSE:
 		pw_store.mode = PW_STORE_DOWN;
 		soak_list_all(s, 0);
 		return;
-	case SOAK_FORGET: pw_store_compact(); return;
-	case SOAK_DEAF_WATCHES: pw_store.watches_silent = 1; return;
+	case SOAK_COMPACT: pw_store_compact(); return;
+	case SOAK_SILENT_WATCHES: pw_store.watches_silent = 1; return;
 	case SOAK_STORE_LINK: proxy_set(e->store, link_mode(f)); return;
 	case SOAK_PEER_LINK: proxy_set(e->peers, link_mode(f)); return;
 	case SOAK_SERVER_LINK:
-		if (!v->dead) proxy_set(v->link, link_mode(f));
+		if (!v->crashed) proxy_set(v->link, link_mode(f));
 		return;
 	case SOAK_SERVER_MODE: soak_set_server_mode(s, f); return;
 	case SOAK_GROW: grow(s, GROWN_ROUTES); return;
 	case SOAK_SILENCE: silence(s, 1 + f->variant % 7); return;
 	case SOAK_CRASHER: soak_crasher_begin(s); return;
-	case SOAK_REBORN: soak_end_life(s, f); return;
+	case SOAK_RESTART: soak_begin_restart(s, f); return;
 	case SOAK_FOREIGN: soak_write_foreign(s, f); return;
 	case SOAK_SUSPEND: signal_entry(e, SIGSTOP); return;
 	case SOAK_NOTICE: soak_notice_begin(s, f); return;
@@ -116,17 +116,18 @@
 	}
 }
 
-static void mend_store(struct soak *s, enum soak_fault_kind kind)
+static void restore_store(struct soak *s, enum soak_fault_kind kind)
 {
 	if (kind == SOAK_STORE || kind == SOAK_LAPSE) pw_store.mode = PW_STORE_OK;
 	if (kind == SOAK_LAPSE) s->relist_us = clock_us() + RELIST_US;
-	if (kind != SOAK_DEAF_WATCHES) return;
+	if (kind != SOAK_SILENT_WATCHES) return;
 	pw_store.watches_silent = 0;
 	pw_store_compact();
 }
 
-/* Its machine was, for longer than it stood still here. */
-static void suspended(const struct soak_entry *e)
+/* Simulates a machine suspended for longer than the SIGSTOP: the signal moves the entry's
+ * clock ahead. */
+static void jump_clock(const struct soak_entry *e)
 {
 	static const int more_ms[] = {1000, 5000, 60000};
 	static unsigned n;
@@ -135,13 +136,13 @@
 	if (e->pw->pid > 0) sigqueue(e->pw->pid, SIGUSR2, v);
 }
 
-static void mend_entry(struct soak_entry *e, enum soak_fault_kind kind)
+static void restore_entry(struct soak_entry *e, enum soak_fault_kind kind)
 {
 	if (kind == SOAK_STORE_LINK) proxy_set(e->store, PROXY_OK);
 	if (kind == SOAK_PEER_LINK) proxy_set(e->peers, PROXY_OK);
 	if ((kind == SOAK_FREEZE || kind == SOAK_SUSPEND) && e->frozen) {
 		e->frozen = 0;
-		if (kind == SOAK_SUSPEND) suspended(e);
+		if (kind == SOAK_SUSPEND) jump_clock(e);
 		pw_entry_kill(e->pw, SIGCONT);
 	}
 	if (kind == SOAK_KILL && e->down && !e->pw->pid) {
@@ -150,30 +151,30 @@
 	}
 }
 
-static void mend_server(struct soak_server *v, enum soak_fault_kind kind)
+static void restore_server(struct soak_server *v, enum soak_fault_kind kind)
 {
-	if (v->dead) return;
+	if (v->crashed) return;
 	if (kind == SOAK_SERVER_LINK) proxy_set(v->link, PROXY_OK);
-	if (kind == SOAK_SERVER_MODE && v->notice != SOAK_SAYS_REST) v->pw->mode = PW_OK;
+	if (kind == SOAK_SERVER_MODE && v->notice != SOAK_NOTICE_BACKOFF) v->pw->mode = PW_OK;
 }
 
-/* Puts right what this kind of fault changed, of all its victims: with the last of them. */
+/* Undoes this kind of fault for all its victims, when the last fault of the kind ends. */
 static void end(struct soak *s, const struct soak_fault *f)
 {
 	enum soak_fault_kind kind = f->kind;
 	int i;
 
-	mend_store(s, kind);
+	restore_store(s, kind);
 	if (kind == SOAK_GROW) grow(s, 0);
 	if (kind == SOAK_CRASHER) soak_crasher_end(s);
-	if (kind == SOAK_REBORN) soak_begin_life(s, f);
+	if (kind == SOAK_RESTART) soak_end_restart(s, f);
 	if (kind == SOAK_FOREIGN) soak_list_all(s, 1);
 	if (kind == SOAK_NOTICE) soak_notice_end(s);
-	for (i = 0; i < SOAK_ENTRIES; i++) mend_entry(&s->entry[i], kind);
-	for (i = 0; i < s->nservers; i++) mend_server(&s->server[i], kind);
+	for (i = 0; i < SOAK_ENTRIES; i++) restore_entry(&s->entry[i], kind);
+	for (i = 0; i < s->nservers; i++) restore_server(&s->server[i], kind);
 }
 
-static void turn_entries(struct soak *s)
+static void restart_ended_entries(struct soak *s)
 {
 	int i, status;
 
@@ -191,7 +192,7 @@
 	}
 }
 
-/* When the last one of those under way of this kind ends. */
+/* The latest end of the active faults of this kind. */
 static int64_t last_end(const struct soak *s, enum soak_fault_kind kind)
 {
 	int64_t last = 0;
@@ -205,8 +206,8 @@
 	return last;
 }
 
-/* It lasts until the others of its kind end, too: the checks go by its times. */
-static void turn_fault(struct soak *s, struct soak_fault *f, int64_t now)
+/* A fault lasts until all active ones of its kind end; the checks use the updated to_us. */
+static void step_fault(struct soak *s, struct soak_fault *f, int64_t now)
 {
 	if (!f->begun && now >= f->from_us) {
 		f->begun = 1;
@@ -219,19 +220,19 @@
 	end(s, f);
 }
 
-void soak_turn_faults(struct soak *s)
+void soak_step_faults(struct soak *s)
 {
 	int64_t now = clock_us();
 	uint32_t i;
 
-	soak_turn_servers(s);
-	soak_turn_notices(s);
-	turn_entries(s);
+	soak_step_servers(s);
+	soak_step_notices(s);
+	restart_ended_entries(s);
 	for (i = 0; i < s->faults->len; i++)
-		turn_fault(s, &g_array_index(s->faults, struct soak_fault, i), now);
+		step_fault(s, &g_array_index(s->faults, struct soak_fault, i), now);
 }
 
-void soak_mend(struct soak *s)
+void soak_end_faults(struct soak *s)
 {
 	struct soak_fault f = {0};
 
--- a/test/soak_main.c
+++ b/test/soak_main.c
@@ -1,4 +1,4 @@
-/* soak SEED SECONDS: one run, told in full. Called by scripts/soak. */
+/* soak SEED SECONDS: one run with line-buffered output. Called by scripts/soak. */
 #include "soak.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/test/soak_notice.c
+++ b/test/soak_notice.c
@@ -1,15 +1,15 @@
-/* Servers of the soak that say something of themselves in their answers: a limit, that they
- * leave while their entries say nothing, that they want rest. */
+/* Servers of the soak that announce a state in their answers: a rate limit, that they leave
+ * (while their list entries don't show it), or a back-off. */
 #include "clock.h"
 #include "soak.h"
 #include <stdio.h>
 
 #define LIMIT_PER_S 2
-#define LIMIT_MS 4000         /* the bound is counted over so long ... */
-#define LIMIT_FROM_US 3500000 /* ... from so long after it was first named */
-#define REST_MS 2000
-#define REST_FROM_MS 500 /* what is under way then may still come */
-#define REST_EACH 2      /* from one entry in the rest of the time */
+#define LIMIT_MS 4000         /* requests are counted over this period ... */
+#define LIMIT_FROM_US 3500000 /* ... from this time after the first announcement */
+#define BACKOFF_MS 2000
+#define BACKOFF_FROM_MS 500 /* requests in flight may still arrive before this */
+#define BACKOFF_EACH 2      /* allowed from one entry during the remaining back-off */
 #define SERVE_ON_US 3000000
 
 static int most_in_limit(void)
@@ -19,35 +19,35 @@
 
 enum soak_notice soak_notice_of(const struct soak_fault *f)
 {
-	return SOAK_SAYS_LIMIT + f->variant % 3;
+	return SOAK_NOTICE_LIMIT + f->variant % 3;
 }
 
 void soak_notice_begin(struct soak *s, const struct soak_fault *f)
 {
-	struct soak_server *v = soak_spare(s, f->victim, -1);
+	struct soak_server *v = soak_pick_server(s, f->victim, -1);
 
 	if (!v || v->notice || v->pw->mode != PW_OK) return;
 	v->notice_us = clock_us();
 	v->notice = soak_notice_of(f);
 	switch (v->notice) {
-	case SOAK_SAYS_LIMIT: v->pw->extra_fields = "Server-Limit: 2\r\n"; return;
-	case SOAK_SAYS_REST:
+	case SOAK_NOTICE_LIMIT: v->pw->extra_fields = "Server-Limit: 2\r\n"; return;
+	case SOAK_NOTICE_BACKOFF:
 		v->pw->extra_fields = "Retry-After: 2\r\n";
 		v->pw->mode = PW_FULL;
 		return;
-	case SOAK_SAYS_LEAVES:
+	case SOAK_NOTICE_LEAVING:
 		v->pw->extra_fields = "Server-Leaving: 1\r\n";
 		v->leaving = 1;
 		v->unlist_us = v->notice_us + SERVE_ON_US;
-		v->die_us = v->unlist_us;
+		v->exit_us = v->unlist_us;
 		soak_replace(s, v);
 		return;
-	case SOAK_SAYS_NOTHING: return;
+	case SOAK_NOTICE_NONE: return;
 	}
 }
 
-/* Links that hold requests up let many arrive at once. */
-static int links_were_sound(const struct soak *s, int64_t from_us)
+/* Links that hold requests back release many at once, so the bounds don't apply then. */
+static int links_were_healthy(const struct soak *s, int64_t from_us)
 {
 	int64_t now = clock_us();
 	uint32_t i;
@@ -65,14 +65,14 @@
 {
 	int got, most;
 
-	if (!links_were_sound(s, v->notice_us)) return;
-	if (v->notice == SOAK_SAYS_LIMIT) {
+	if (!links_were_healthy(s, v->notice_us)) return;
+	if (v->notice == SOAK_NOTICE_LIMIT) {
 		got = pw_server_max_arrivals(v->pw, v->notice_us + LIMIT_FROM_US, LIMIT_MS);
 		most = most_in_limit();
 	} else {
-		got = pw_server_max_arrivals(v->pw, v->notice_us + REST_FROM_MS * 1000,
-					     REST_MS - REST_FROM_MS);
-		most = REST_EACH * SOAK_ENTRIES;
+		got = pw_server_max_arrivals(v->pw, v->notice_us + BACKOFF_FROM_MS * 1000,
+					     BACKOFF_MS - BACKOFF_FROM_MS);
+		most = BACKOFF_EACH * SOAK_ENTRIES;
 	}
 	if (got <= most) return;
 	s->notices_broken++;
@@ -87,16 +87,16 @@
 	for (i = 0; i < s->nservers; i++) {
 		struct soak_server *v = &s->server[i];
 
-		if (v->notice == SOAK_SAYS_NOTHING || v->leaving) continue;
+		if (v->notice == SOAK_NOTICE_NONE || v->leaving) continue;
 		check(s, v);
-		v->notice = SOAK_SAYS_NOTHING;
+		v->notice = SOAK_NOTICE_NONE;
 		v->pw->extra_fields = NULL;
 		v->pw->mode = PW_OK;
 	}
 }
 
-/* From its first answer on it is known to leave. */
-void soak_turn_notices(struct soak *s)
+/* Marks a server as leaving from the first request after its notice began. */
+void soak_step_notices(struct soak *s)
 {
 	int i;
 
@@ -104,7 +104,7 @@
 		struct soak_server *v = &s->server[i];
 		GArray *at = v->pw->arrived_us;
 
-		if (v->notice != SOAK_SAYS_LEAVES || v->pw->leaving_us || !at->len) continue;
+		if (v->notice != SOAK_NOTICE_LEAVING || v->pw->leaving_us || !at->len) continue;
 		if (g_array_index(at, int64_t, at->len - 1) > v->notice_us)
 			v->pw->leaving_us = clock_us();
 	}
--- a/test/soak_proxy.c
+++ b/test/soak_proxy.c
@@ -1,28 +1,28 @@
-/* A relay on each link of the soak: passes bytes on, holds them up or breaks off. */
+/* A proxy on a link: forwards data, holds it or resets the connections. */
 #include "soak_proxy.h"
 #include <stddef.h>
 #include <stdlib.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
 
-#define DELAY_US 150000 /* a busy link; less than any time-out of an entry */
+#define DELAY_US 150000 /* as on a busy link; shorter than any time-out of an entry */
 
 struct pair;
 
-/* One direction: what was read at its near end and did not pass yet. */
-struct way {
-	struct cn cn; /* read here, written at the other way's */
+/* One direction of a connection, with the data that was read and not forwarded yet. */
+struct direction {
+	struct cn cn; /* read here, written to the other direction's cn */
 	struct pair *pair;
-	struct way *other;
+	struct direction *other;
 	GString *held;
 	struct ev_timer timer;
-	int ended, err; /* no more will be read; err: it was reset */
+	int ended, err; /* end of data; err: it was reset */
 };
 
 struct pair {
 	struct proxy *proxy;
-	struct way to, from; /* read at the client, read at the server */
-	int silent;          /* for good */
+	struct direction to, from; /* read from the client; read from the server */
+	int silent;                /* for the rest of its time */
 };
 
 static void free_pair(struct pair *p)
@@ -42,7 +42,7 @@
 	free_pair(p);
 }
 
-static int holds(const struct way *w)
+static int holds_data(const struct direction *w)
 {
 	enum proxy_mode m = w->pair->proxy->mode;
 	int is_to = w == &w->pair->to;
@@ -51,12 +51,12 @@
 	       m == (is_to ? PROXY_CUT_TO : PROXY_CUT_FROM);
 }
 
-/* Passes on what may pass now, and the end behind it. */
-static void pass(struct way *w)
+/* Forwards the held data if the mode allows, then the end of data. */
+static void forward(struct direction *w)
 {
 	struct cn *out = &w->other->cn;
 
-	if (holds(w)) return;
+	if (holds_data(w)) return;
 	if (w->held->len) cn_write(out, w->held->str, w->held->len);
 	g_string_truncate(w->held, 0);
 	if (!w->ended) return;
@@ -72,42 +72,42 @@
 
 static void on_timer(struct ev_timer *t)
 {
-	pass((struct way *)((char *)t - offsetof(struct way, timer)));
+	forward((struct direction *)((char *)t - offsetof(struct direction, timer)));
 }
 
-static void pass_in_time(struct way *w)
+static void forward_or_delay(struct direction *w)
 {
 	if (w->pair->proxy->mode != PROXY_DELAY)
-		pass(w);
+		forward(w);
 	else if (!w->timer.armed)
 		ev_in(&w->timer, DELAY_US);
 }
 
 static void on_data(struct cn *c, const char *p, size_t n)
 {
-	struct way *w = (struct way *)c;
+	struct direction *w = (struct direction *)c;
 
 	g_string_append_len(w->held, p, n);
-	pass_in_time(w);
+	forward_or_delay(w);
 }
 
 static void on_end(struct cn *c, int err)
 {
-	struct way *w = (struct way *)c;
+	struct direction *w = (struct direction *)c;
 
 	w->ended = 1;
 	w->err = err;
-	pass_in_time(w);
+	forward_or_delay(w);
 }
 
 static void on_drain(struct cn *c)
 {
-	struct way *w = (struct way *)c;
+	struct direction *w = (struct direction *)c;
 
-	if (w->other->ended) pass_in_time(w->other);
+	if (w->other->ended) forward_or_delay(w->other);
 }
 
-static void init_way(struct way *w, struct pair *p, struct way *other)
+static void init_direction(struct direction *w, struct pair *p, struct direction *other)
 {
 	w->pair = p;
 	w->other = other;
@@ -124,8 +124,8 @@
 	struct pair *p = g_new0(struct pair, 1);
 
 	p->proxy = x;
-	init_way(&p->to, p, &p->from);
-	init_way(&p->from, p, &p->to);
+	init_direction(&p->to, p, &p->from);
+	init_direction(&p->from, p, &p->to);
 	g_ptr_array_add(x->pairs, p);
 	if (cn_accepted(&p->to.cn, fd, from) || x->mode == PROXY_RESET ||
 	    cn_connect(&p->from.cn, &x->to))
@@ -183,8 +183,8 @@
 	for (i = p->pairs->len; i-- > 0;) {
 		struct pair *x = g_ptr_array_index(p->pairs, i);
 
-		pass(&x->to);
-		if (i < p->pairs->len && g_ptr_array_index(p->pairs, i) == x) pass(&x->from);
+		forward(&x->to);
+		if (i < p->pairs->len && g_ptr_array_index(p->pairs, i) == x) forward(&x->from);
 	}
 }
 
--- a/test/soak_proxy.h
+++ b/test/soak_proxy.h
@@ -1,15 +1,16 @@
-/* A TCP relay on loopback that stands for a link: it delays, holds, cuts one way or resets. */
+/* A TCP proxy on loopback that simulates link faults: delay, silence, loss in one direction,
+ * reset. */
 #ifndef SOAK_PROXY_H
 #define SOAK_PROXY_H
 #include "cn.h"
 
 enum proxy_mode {
 	PROXY_OK,
-	PROXY_DELAY,    /* bytes come 150 ms late */
-	PROXY_SILENT,   /* nothing passes; it is delivered when the link is back */
-	PROXY_CUT_TO,   /* nothing passes towards the server */
-	PROXY_CUT_FROM, /* nothing passes towards the client */
-	PROXY_RESET,    /* connections are reset, new ones too */
+	PROXY_DELAY,    /* data is delayed by 150 ms */
+	PROXY_SILENT,   /* data is held until the link recovers */
+	PROXY_CUT_TO,   /* data to the server is held */
+	PROXY_CUT_FROM, /* data to the client is held */
+	PROXY_RESET,    /* open and new connections are reset */
 	PROXY_MODES
 };
 
@@ -20,13 +21,14 @@
 	GPtrArray *pairs;
 };
 
-/* Aborts where it can't listen. */
+/* Listens at at and connects to to; aborts if it can't listen. */
 struct proxy *proxy_new(const struct sockaddr_in *at, const struct sockaddr_in *to);
-/* What was held is delivered as soon as the mode lets it pass. */
+/* Sets the mode. Held data is delivered as soon as the mode allows. */
 void proxy_set(struct proxy *p, enum proxy_mode mode);
-/* What is open carries nothing more, either way, and is never reset; new ones work. */
+/* Open connections carry no more data in either direction, and aren't reset by proxy_set or
+ * proxy_close; new ones work. */
 void proxy_silence(struct proxy *p);
-/* Its port is closed, what runs is reset, but for what is silent. */
+/* Closes the port and resets all connections but silenced ones. */
 void proxy_close(struct proxy *p);
 void proxy_free(struct proxy *p);
 #endif
--- a/test/soak_server.c
+++ b/test/soak_server.c
@@ -1,10 +1,10 @@
-/* Backend servers of the soak: added, listed, taken away, and made to misbehave. */
+/* Backend servers of the soak: added, listed, removed, crashed and made faulty. */
 #include "clock.h"
 #include "soak.h"
 #include <stdlib.h>
 #include <string.h>
 
-#define SERVER_PROXY 150    /* address: the ways to servers, each at a port of its own */
+#define SERVER_PROXY 150    /* host of the links to servers, each at its own port */
 #define EVENT_MS 15         /* between events of a stream */
 #define BREAK_AFTER 30      /* events of a stream that breaks */
 #define SERVE_ON_US 2200000 /* a leaving server is listed for so long */
@@ -28,8 +28,7 @@
 	return v;
 }
 
-/* A server that is neither dead nor leaving; NULL when it is the last of its service. */
-struct soak_server *soak_spare(struct soak *s, int victim, int engine)
+struct soak_server *soak_pick_server(struct soak *s, int victim, int engine)
 {
 	struct soak_server *found = NULL;
 	int i, n = 0;
@@ -37,7 +36,8 @@
 	for (i = 0; i < s->nservers; i++) {
 		struct soak_server *v = &s->server[(i + victim) % s->nservers];
 
-		if (v->dead || v->leaving || (engine >= 0 && v->pw->engine != engine)) continue;
+		if (v->crashed || v->leaving || (engine >= 0 && v->pw->engine != engine))
+			continue;
 		if (!strcmp(v->pw->service, "app2")) continue;
 		if (!found) found = v;
 		n += !strcmp(v->pw->service, found->pw->service);
@@ -50,54 +50,54 @@
 	if (s->nservers < SOAK_SERVERS) soak_add_server(s, v->pw->service, v->pw->engine);
 }
 
-static void die(struct soak_server *v)
+static void crash(struct soak_server *v)
 {
-	v->dead = 1;
+	v->crashed = 1;
 	pw_server_crash(v->pw);
 	proxy_close(v->link);
 }
 
-void soak_leave(struct soak *s, const struct soak_fault *f)
+void soak_retire_server(struct soak *s, const struct soak_fault *f)
 {
-	struct soak_server *v = soak_spare(s, f->victim, 1);
+	struct soak_server *v = soak_pick_server(s, f->victim, 1);
 
 	if (!v) return;
 	v->leaving = 1;
 	v->pw->leaving_us = clock_us();
 	pw_server_list(v->pw, "draining");
 	v->unlist_us = clock_us() + SERVE_ON_US;
-	v->die_us = v->unlist_us + SERVE_ON_US / 4;
+	v->exit_us = v->unlist_us + SERVE_ON_US / 4;
 	soak_replace(s, v);
 }
 
 void soak_crash_server(struct soak *s, const struct soak_fault *f)
 {
-	struct soak_server *v = soak_spare(s, f->victim, -1);
+	struct soak_server *v = soak_pick_server(s, f->victim, -1);
 
 	if (!v) return;
-	die(v);
+	crash(v);
 	v->unlist_us = f->to_us;
 	soak_replace(s, v);
 }
 
-void soak_end_server(struct soak *s, struct soak_server *v)
+void soak_crash_now(struct soak *s, struct soak_server *v)
 {
-	if (v->dead) return;
-	die(v);
+	if (v->crashed) return;
+	crash(v);
 	v->unlist_us = clock_us() + SERVE_ON_US;
 	soak_replace(s, v);
 }
 
-void soak_end_life(struct soak *s, const struct soak_fault *f)
+void soak_begin_restart(struct soak *s, const struct soak_fault *f)
 {
-	struct soak_server *v = soak_spare(s, f->victim, -1);
+	struct soak_server *v = soak_pick_server(s, f->victim, -1);
 
 	if (!v) return;
-	die(v);
-	v->between = 1;
+	crash(v);
+	v->restarting = 1;
 }
 
-static void begin_life(struct soak *s, struct soak_server *v, int elsewhere)
+static void restart(struct soak *s, struct soak_server *v, int elsewhere)
 {
 	struct sockaddr_in at, to;
 	char address[48];
@@ -116,16 +116,16 @@
 	g_strlcpy(v->pw->address, address, sizeof v->pw->address);
 	v->pw->incarnation_ms = clock_wall_ms();
 	v->pw->mode = PW_OK;
-	v->dead = v->between = 0;
+	v->crashed = v->restarting = 0;
 	pw_server_list(v->pw, "ready");
 }
 
-void soak_begin_life(struct soak *s, const struct soak_fault *f)
+void soak_end_restart(struct soak *s, const struct soak_fault *f)
 {
 	int i;
 
 	for (i = 0; i < s->nservers; i++)
-		if (s->server[i].between) begin_life(s, &s->server[i], f->variant % 2);
+		if (s->server[i].restarting) restart(s, &s->server[i], f->variant % 2);
 }
 
 static void put_foreign(const char *id, int variant)
@@ -142,7 +142,7 @@
 
 void soak_write_foreign(struct soak *s, const struct soak_fault *f)
 {
-	const struct soak_server *v = soak_spare(s, f->victim, -1);
+	const struct soak_server *v = soak_pick_server(s, f->victim, -1);
 
 	put_foreign("foreign", f->variant / 2);
 	if (v && f->variant % 2) put_foreign(v->pw->id, f->variant / 2);
@@ -155,7 +155,7 @@
 	for (i = 0; i < s->nservers; i++) {
 		struct soak_server *v = &s->server[i];
 
-		if (v->dead || v->leaving) continue;
+		if (v->crashed || v->leaving) continue;
 		if (listed)
 			pw_server_list(v->pw, "ready");
 		else
@@ -169,7 +169,7 @@
 		PW_FULL,  PW_HANG,  PW_RESET,   PW_WRONG_ID,    PW_UNSIGNED, PW_FALSE_503,
 		PW_ERROR, PW_EXTRA, PW_GARBAGE, PW_UNTIL_CLOSE, PW_CUT_CLOSE};
 	static const enum pw_mode streams[] = {PW_FULL, PW_HANG, PW_BREAK, PW_SILENT};
-	struct soak_server *v = soak_spare(s, f->victim, -1);
+	struct soak_server *v = soak_pick_server(s, f->victim, -1);
 
 	if (!v) return;
 	v->pw->break_after = BREAK_AFTER;
@@ -177,7 +177,7 @@
 				    : calls[f->variant % G_N_ELEMENTS(calls)];
 }
 
-void soak_turn_servers(struct soak *s)
+void soak_step_servers(struct soak *s)
 {
 	int64_t now = clock_us();
 	int i;
@@ -193,9 +193,9 @@
 			v->unlist_us = 0;
 			pw_server_unlist(v->pw);
 		}
-		if (v->die_us && now >= v->die_us) {
-			v->die_us = 0;
-			die(v);
+		if (v->exit_us && now >= v->exit_us) {
+			v->exit_us = 0;
+			crash(v);
 		}
 	}
 }
--- a/test/test_chaos.c
+++ b/test/test_chaos.c
@@ -1,4 +1,4 @@
-/* A short fixed set of chaos runs; the verdict depends on the promises only. */
+/* A short fixed set of chaos runs; they fail only if a guarantee is broken. */
 #include "chaos.h"
 #include "check.h"
 
--- a/test/test_soak.c
+++ b/test/test_soak.c
@@ -1,4 +1,4 @@
-/* A short fixed set of soak runs, and each seed that ever failed with a line on its cause. */
+/* A short fixed set of soak runs, and each seed that has failed, with its cause. */
 #include "check.h"
 #include "soak.h"
 
@@ -12,68 +12,68 @@
 	seed(1, 15);
 }
 
-/* Streams taken early in a planned stop were cut at its end: an engine's pace was a constant.
- */
+/* Streams accepted early in a planned stop were cut at its end: the pace of an engine was
+ * assumed to be a constant. */
 static void soak_seed_4(void)
 {
 	seed(4, 19);
 }
 
-/* Planned stops, engines that leave and keys that change, all within two seconds. */
+/* Planned stops, leaving engines and changed keys, all within two seconds. */
 static void soak_seed_12(void)
 {
 	seed(12, 17);
 }
 
-/* An entry stayed frozen longer than the checks knew: of two freezes the first ends with the
- * last. */
+/* An entry was suspended for longer than the checks assumed: of two overlapping suspensions,
+ * the first ends with the last. */
 static void soak_seed_1002(void)
 {
 	seed(1002, 26);
 }
 
-/* Connections to engines fell silent for good: resumable streams that had begun stayed on them
- * until their time was over, and were cut. */
+/* Connections to engines fell silent permanently: resumable streams in progress stayed on them
+ * until their time-out, and were cut. */
 static void soak_seed_80(void)
 {
 	seed(80, 8);
 }
 
-/* With requests that end servers, servers back under their ids, entries by other writers,
- * machines that are suspended. */
+/* Requests that crash servers, servers that restart under their ids, list entries by other
+ * writers, suspended machines. */
 static void soak_seed_301(void)
 {
 	CU_ASSERT_EQUAL(soak_run(301, 15, SOAK_LATER_KINDS), 0);
 }
 
-/* All engines ended in half a second under one request; an instance whose machine was suspended
- * meanwhile woke, judged before it had read others' word, and blamed what everybody sends. */
+/* One request crashed all engines within half a second. An instance whose machine was suspended
+ * meanwhile gave a verdict on resuming, before it had read the updates of others, and
+ * quarantined the requests that all callers send. */
 static void soak_seed_431(void)
 {
 	CU_ASSERT_EQUAL(soak_run(431, 25, SOAK_LATER_KINDS), 0);
 }
 
-/* The same of instances whose links were cut. */
+/* The same fault at instances whose links were cut. */
 static void soak_seed_440(void)
 {
 	CU_ASSERT_EQUAL(soak_run(440, 8, SOAK_LATER_KINDS), 0);
 }
 
-/* All links between instances fell silent for good and were not opened anew: each blamed what
- * everybody sends by the ends of servers that it had seen alone. */
+/* All links between instances fell silent permanently and were not reopened: each quarantined
+ * the requests that all callers send, from only the server crashes that it had seen itself. */
 static void soak_seed_738(void)
 {
 	CU_ASSERT_EQUAL(soak_run(738, 22, SOAK_ALL_KINDS), 0);
 }
 
-/* Word of an end was lost with a link that was disturbed for 0.6 s, and told by nobody again.
- */
+/* The report of a crash was lost on a link that failed for 0.6 s, and was not repeated. */
 static void soak_seed_724(void)
 {
 	CU_ASSERT_EQUAL(soak_run(724, 22, SOAK_ALL_KINDS), 0);
 }
 
-/* With servers that name limits, leave by their answers, and ask for rest. */
+/* Servers that announce rate limits, that they leave, or a back-off in their answers. */
 static void soak_seed_501(void)
 {
 	CU_ASSERT_EQUAL(soak_run(501, 15, SOAK_ALL_KINDS), 0);
