--- a/test/pw.h
+++ b/test/pw.h
@@ -208,12 +208,12 @@
 struct pw_crash {
 	const char *body; /* of that request; NULL: none */
 	int after_ms;     /* from the start of a run until its server crashes */
-	int back_ms;      /* from the crash until it restarts at its address; 0: never */
+	int restart_ms;   /* from the crash until it restarts at its address; 0: never */
 	int same_id;      /* restarts under its id, as a new incarnation; else under a new id */
 	int crashes;      /* server crashes so far */
 	int64_t third_crash_us; /* time of the third crash; 0: none yet */
 	/* Called instead of pw_crash_now, unless NULL. */
-	void (*end)(struct pw_server *s);
+	void (*on_crash)(struct pw_server *s);
 };
 /* Reset by pw_end. */
 extern struct pw_crash pw_crash;
--- a/test/pw_crash.c
+++ b/test/pw_crash.c
@@ -50,7 +50,7 @@
 	struct pw_server *s = c->s;
 
 	if (!pw_crash.same_id) {
-		schedule(NULL, s->id, on_unlisted, LISTED_MS - pw_crash.back_ms);
+		schedule(NULL, s->id, on_unlisted, LISTED_MS - pw_crash.restart_ms);
 		pw_server_rename(s);
 	}
 	s->incarnation_ms = clock_wall_ms();
@@ -62,7 +62,7 @@
 void pw_crash_now(struct pw_server *s)
 {
 	pw_server_crash(s);
-	if (pw_crash.back_ms) schedule(s, s->id, on_restart, pw_crash.back_ms);
+	if (pw_crash.restart_ms) schedule(s, s->id, on_restart, pw_crash.restart_ms);
 }
 
 static void on_crash(struct ev_timer *t)
@@ -70,8 +70,8 @@
 	struct pw_run *r = (struct pw_run *)((char *)t - offsetof(struct pw_run, timer));
 
 	if (++pw_crash.crashes == 3) pw_crash.third_crash_us = clock_us();
-	if (pw_crash.end)
-		pw_crash.end(r->server);
+	if (pw_crash.on_crash)
+		pw_crash.on_crash(r->server);
 	else
 		pw_crash_now(r->server);
 }
--- a/test/pw_peer.c
+++ b/test/pw_peer.c
@@ -224,7 +224,7 @@
 
 	(void)err;
 	if (c == me->link) me->link = NULL;
-	if (c == me->asking) me->asking = NULL;
+	if (c == me->fetch) me->fetch = NULL;
 	g_ptr_array_remove(me->in, c);
 	close_cn(c);
 }
@@ -244,7 +244,7 @@
 
 static void answer(struct pw_peer *me, struct pw_peer_cn *on)
 {
-	me->asks++;
+	me->copy_requests++;
 	if (!me->copy || !on || on->pace.armed) return;
 	on->sent = 0;
 	on->pace.fire = on_send_timer;
@@ -299,8 +299,8 @@
 	c->receiving = 0;
 	receiving_copies--;
 	c->peer->copies++;
-	c->peer->wants = 0;
-	return c == c->peer->asking;
+	c->peer->wants_copy = 0;
+	return c == c->peer->fetch;
 }
 
 #define ARRAY_OF_16_BITS 0xdc /* msgpack prefix of arrays over 15, before the length */
@@ -385,7 +385,7 @@
 
 	setsockopt(cn->ev.fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
 	write_heartbeat(out, c->peer);
-	if (c == c->peer->asking) write_request(out, FETCH);
+	if (c == c->peer->fetch) write_request(out, FETCH);
 	cn_write(cn, out->str, out->len);
 	g_string_free(out, TRUE);
 }
@@ -407,21 +407,22 @@
 	GString *out = g_string_new(NULL);
 
 	write_heartbeat(out, me);
-	if (me->wants) write_request(out, MESH_WANT);
+	if (me->wants_copy) write_request(out, MESH_WANT);
 	cn_write(&me->link->cn, out->str, out->len);
 	g_string_free(out, TRUE);
 }
 
 static void on_heartbeat_timer(struct ev_timer *t)
 {
-	struct pw_peer *me = (struct pw_peer *)((char *)t - offsetof(struct pw_peer, beat));
+	struct pw_peer *me =
+		(struct pw_peer *)((char *)t - offsetof(struct pw_peer, heartbeat));
 
-	ev_in(t, me->wants ? REQUEST_US : HEARTBEAT_US);
+	ev_in(t, me->wants_copy ? REQUEST_US : HEARTBEAT_US);
 	if (me->mute) return;
 	if (!me->link) me->link = connect_to_entry(me);
 	/* Frames can't be interleaved: none is sent while a copy is sent in parts. */
 	if (me->link && !me->link->cn.connecting && !me->link->pace.armed) send_on_link(me);
-	if (me->wants && !me->asking) me->asking = connect_to_entry(me);
+	if (me->wants_copy && !me->fetch) me->fetch = connect_to_entry(me);
 }
 
 static void listen_at(struct pw_peer *me)
@@ -447,8 +448,8 @@
 	g_snprintf(me->name, sizeof me->name, "peer%u", peers->len);
 	g_ptr_array_add(peers, me);
 	listen_at(me);
-	me->beat.fire = on_heartbeat_timer;
-	ev_in(&me->beat, 0);
+	me->heartbeat.fire = on_heartbeat_timer;
+	ev_in(&me->heartbeat, 0);
 	return me;
 }
 
@@ -464,7 +465,7 @@
 {
 	uint32_t i;
 
-	ev_stop(&me->beat);
+	ev_stop(&me->heartbeat);
 	ev_close(&me->listener);
 	close_cn(me->link);
 	me->link = NULL;
@@ -476,10 +477,10 @@
 {
 	uint32_t i;
 
-	ev_stop(&me->beat);
+	ev_stop(&me->heartbeat);
 	ev_close(&me->listener);
 	close_cn(me->link);
-	close_cn(me->asking);
+	close_cn(me->fetch);
 	for (i = 0; i < me->in->len; i++) close_cn(g_ptr_array_index(me->in, i));
 	g_ptr_array_free(me->in, TRUE);
 	if (me->copy) g_string_free(me->copy, TRUE);
--- a/test/pw_peer.h
+++ b/test/pw_peer.h
@@ -17,18 +17,18 @@
 			      */
 	int store_up;        /* it announces that the store answers it */
 	int mute;            /* sends nothing on its link, and leaves it open */
-	int wants;           /* requests a copy from the entry until it has one */
-	int asks;            /* requests for a copy received from the entry */
+	int wants_copy;      /* requests a copy from the entry until it has one */
+	int copy_requests;   /* requests for a copy received from the entry */
 	int copies;          /* complete copies received */
 	int verdicts;        /* frames received that name quarantined requests */
 	int leavings;        /* frames received that name a leaving server */
-	int64_t heartbeat_us;             /* when the last heartbeat was received */
-	int64_t gap_us;                   /* longest time between two heartbeats so far */
-	int64_t entry_clock_us;           /* the entry's clock in its last heartbeat; 0: none */
-	struct pw_peer_cn *link, *asking; /* to the entry; asking: for one request */
-	GPtrArray *in;                    /* of struct pw_peer_cn, from the entry */
+	int64_t heartbeat_us;            /* when the last heartbeat was received */
+	int64_t gap_us;                  /* longest time between two heartbeats so far */
+	int64_t entry_clock_us;          /* the entry's clock in its last heartbeat; 0: none */
+	struct pw_peer_cn *link, *fetch; /* to the entry; fetch: for one request */
+	GPtrArray *in;                   /* of struct pw_peer_cn, from the entry */
 	struct ev_fd listener;
-	struct ev_timer beat;
+	struct ev_timer heartbeat;
 };
 
 /* Maximum number of copies in progress at once so far, received by all peers. */
--- a/test/soak_crash.c
+++ b/test/soak_crash.c
@@ -36,7 +36,7 @@
 	g_snprintf(c.body, sizeof c.body, "ends servers %u", s->crashers->len);
 	g_array_append_val(s->crashers, c);
 	pw_crash = (struct pw_crash){
-		.body = last(s)->body, .after_ms = AFTER_MS, .end = end_server};
+		.body = last(s)->body, .after_ms = AFTER_MS, .on_crash = end_server};
 }
 
 void soak_crasher_end(struct soak *s)
@@ -44,7 +44,7 @@
 	if (!pw_crash.body) return;
 	last(s)->over = 1;
 	/* A run in flight still crashes its server, which must be recorded here. */
-	pw_crash = (struct pw_crash){.end = end_server};
+	pw_crash = (struct pw_crash){.on_crash = end_server};
 }
 
 void soak_step_crasher(struct soak *s)
--- a/test/test_copies.c
+++ b/test/test_copies.c
@@ -57,7 +57,7 @@
 	for (i = 0; i < 6; i++) {
 		w.p[i] = pw_peer_new(e, 0);
 		w.p[i]->read_pause_ms = 400;
-		w.p[i]->wants = 1;
+		w.p[i]->wants_copy = 1;
 	}
 	CU_ASSERT(pw_until(all_have_it, &w, 8000));
 	CU_ASSERT_EQUAL(pw_peer_max_copies, 1);
@@ -74,7 +74,7 @@
 
 	pw_run(600);
 	p->read_pause_ms = 2000;
-	p->wants = 1;
+	p->wants_copy = 1;
 	pw_run(2500);
 	CU_ASSERT_EQUAL(p->copies, 1);
 	CU_ASSERT(p->gap_us < 1000000);
@@ -119,7 +119,7 @@
 		pw_peer_serve_config(p[i], newer->str);
 	}
 	CU_ASSERT(version_comes(e, 2, 6000));
-	for (i = 0; i < 3; i++) asks += p[i]->asks;
+	for (i = 0; i < 3; i++) asks += p[i]->copy_requests;
 	CU_ASSERT_EQUAL(asks, 1);
 	g_string_free(newer, TRUE);
 	pw_peers_end();
@@ -148,13 +148,13 @@
 	e = pw_entry_ready();
 	slow = pw_peer_new(e, 0);
 	slow->read_pause_ms = 5600;
-	slow->wants = 1;
+	slow->wants_copy = 1;
 	for (i = 0; i < 40 && !pw_peer_max_copies; i++) pw_run(50);
 	CU_ASSERT_EQUAL(pw_peer_max_copies, 1);
-	slow->wants = 0; /* it does not ask again */
+	slow->wants_copy = 0; /* it does not ask again */
 	pw_run(6500);
 	next = pw_peer_new(e, 0);
-	next->wants = 1;
+	next->wants_copy = 1;
 	CU_ASSERT(pw_until(has_copy, next, 4000));
 	pw_peers_end();
 	pw_end();
@@ -214,11 +214,11 @@
 	p = pw_peer_new(e, pw_store.revision + 1);
 	p->pace_bytes = (int)newer->len / 24;
 	pw_peer_serve_config(p, newer->str);
-	for (i = 0; i < 30 && !p->asks; i++) pw_run(50);
-	CU_ASSERT_EQUAL(p->asks, 1);
-	ev_stop(&p->beat);
+	for (i = 0; i < 30 && !p->copy_requests; i++) pw_run(50);
+	CU_ASSERT_EQUAL(p->copy_requests, 1);
+	ev_stop(&p->heartbeat);
 	CU_ASSERT(version_comes(e, 2, 6000));
-	CU_ASSERT_EQUAL(p->asks, 1);
+	CU_ASSERT_EQUAL(p->copy_requests, 1);
 	g_string_free(newer, TRUE);
 	pw_peers_end();
 	pw_end();
@@ -266,7 +266,7 @@
 	p->pace_bytes = (int)text->len / 12;
 	pw_peer_serve_config(p, text->str);
 	CU_ASSERT(version_comes(e, 2, 6000));
-	CU_ASSERT_EQUAL(p->asks, 0);
+	CU_ASSERT_EQUAL(p->copy_requests, 0);
 	g_string_free(text, TRUE);
 	pw_peers_end();
 	pw_end();
@@ -284,13 +284,13 @@
 	e = pw_entry_ready();
 	newer = second_version();
 	holder = pw_peer_new(e, pw_store.revision + 1);
-	ev_stop(&holder->beat);
+	ev_stop(&holder->heartbeat);
 	pw_peer_serve_config(holder, newer->str);
 	heard = pw_peer_new(e, pw_store.revision + 1);
 	pw_peer_name_holder(heard, holder);
 	CU_ASSERT(version_comes(e, 2, 2000));
-	CU_ASSERT_EQUAL(heard->asks, 1);
-	CU_ASSERT_EQUAL(holder->asks, 1);
+	CU_ASSERT_EQUAL(heard->copy_requests, 1);
+	CU_ASSERT_EQUAL(holder->copy_requests, 1);
 	g_string_free(newer, TRUE);
 	pw_peers_end();
 	pw_end();
--- a/test/test_crash.c
+++ b/test/test_crash.c
@@ -56,7 +56,7 @@
 	pw_run(900);
 	d->guilty = g_ptr_array_new();
 	d->innocent = g_ptr_array_new();
-	pw_crash = (struct pw_crash){.body = GUILTY, .after_ms = 30, .back_ms = 700};
+	pw_crash = (struct pw_crash){.body = GUILTY, .after_ms = 30, .restart_ms = 700};
 }
 
 static void day_end(struct day *d)
