--- a/test/test_copies.c
+++ b/test/test_copies.c
@@ -45,10 +45,10 @@
 	for (i = 0; i < 6; i++) {
 		w.p[i] = pw_peer_new(e, 0);
 		w.p[i]->read_pause_ms = 400;
-		w.p[i]->wants = 1;
+		w.p[i]->wants_copy = 1;
 	}
 	CU_ASSERT(pw_until(all_received, &w, 8000));
-	CU_ASSERT_EQUAL(pw_peer_at_once, 1);
+	CU_ASSERT_EQUAL(pw_peer_max_copies, 1);
 	pw_peers_end();
 	pw_end();
 }
@@ -62,7 +62,7 @@
 
 	pw_run(600);
 	p->read_pause_ms = 2000;
-	p->wants = 1;
+	p->wants_copy = 1;
 	pw_run(2500);
 	CU_ASSERT_EQUAL(p->copies, 1);
 	CU_ASSERT(p->gap_us < 1000000);
@@ -104,10 +104,10 @@
 	for (i = 0; i < 3; i++) {
 		p[i] = pw_peer_new(e, pw_store.revision + 1);
 		p[i]->pace_bytes = (int)newer->len / 12;
-		pw_peer_holds(p[i], newer->str);
+		pw_peer_serve_config(p[i], newer->str);
 	}
 	CU_ASSERT(version_arrives(e, 2, 6000));
-	for (i = 0; i < 3; i++) asks += p[i]->asks;
+	for (i = 0; i < 3; i++) asks += p[i]->copy_requests;
 	CU_ASSERT_EQUAL(asks, 1);
 	g_string_free(newer, TRUE);
 	pw_peers_end();
@@ -135,13 +135,13 @@
 	e = pw_entry_ready();
 	slow = pw_peer_new(e, 0);
 	slow->read_pause_ms = 5600;
-	slow->wants = 1;
-	for (i = 0; i < 40 && !pw_peer_at_once; i++) pw_run(50);
-	CU_ASSERT_EQUAL(pw_peer_at_once, 1);
-	slow->wants = 0; /* it does not ask again */
+	slow->wants_copy = 1;
+	for (i = 0; i < 40 && !pw_peer_max_copies; i++) pw_run(50);
+	CU_ASSERT_EQUAL(pw_peer_max_copies, 1);
+	slow->wants_copy = 0; /* it does not ask again */
 	pw_run(6500);
 	next = pw_peer_new(e, 0);
-	next->wants = 1;
+	next->wants_copy = 1;
 	CU_ASSERT(pw_until(has_copy, next, 4000));
 	pw_peers_end();
 	pw_end();
@@ -170,7 +170,7 @@
 		   "{\"service\":\"app\",\"address\":\"%s\",\"zone\":\"a\",\"version\":\"v1\","
 		   "\"slots\":6,\"state\":\"draining\",\"coldRemainingMs\":0,\"sequence\":1}",
 		   s->address);
-	pw_peer_tells(p, conf, known, key, known + 2, value);
+	pw_peer_send_update(p, conf, known, key, known + 2, value);
 	pw_run(1000);
 	taken = pw_log_has(e, "\"leaving\"");
 	pw_peers_end();
@@ -200,12 +200,12 @@
 	newer = second_version();
 	p = pw_peer_new(e, pw_store.revision + 1);
 	p->pace_bytes = (int)newer->len / 24;
-	pw_peer_holds(p, newer->str);
-	for (i = 0; i < 30 && !p->asks; i++) pw_run(50);
-	CU_ASSERT_EQUAL(p->asks, 1);
-	ev_stop(&p->beat);
+	pw_peer_serve_config(p, newer->str);
+	for (i = 0; i < 30 && !p->copy_requests; i++) pw_run(50);
+	CU_ASSERT_EQUAL(p->copy_requests, 1);
+	ev_stop(&p->heartbeat);
 	CU_ASSERT(version_arrives(e, 2, 6000));
-	CU_ASSERT_EQUAL(p->asks, 1);
+	CU_ASSERT_EQUAL(p->copy_requests, 1);
 	g_string_free(newer, TRUE);
 	pw_peers_end();
 	pw_end();
@@ -228,7 +228,7 @@
 	pw_store_put("op/config", newer->str);
 	for (i = 0; i < 60 && !pw_store.slow_answers; i++) pw_run(50);
 	p = pw_peer_new(e, pw_store.revision);
-	pw_peer_holds(p, newer->str);
+	pw_peer_serve_config(p, newer->str);
 	CU_ASSERT(version_arrives(e, 2, 2500));
 	g_string_free(newer, TRUE);
 	pw_peers_end();
@@ -251,9 +251,9 @@
 	e = pw_entry_start();
 	p = pw_peer_new(e, pw_store.revision);
 	p->pace_bytes = (int)text->len / 12;
-	pw_peer_holds(p, text->str);
+	pw_peer_serve_config(p, text->str);
 	CU_ASSERT(version_arrives(e, 2, 6000));
-	CU_ASSERT_EQUAL(p->asks, 0);
+	CU_ASSERT_EQUAL(p->copy_requests, 0);
 	g_string_free(text, TRUE);
 	pw_peers_end();
 	pw_end();
@@ -272,13 +272,13 @@
 	e = pw_entry_ready();
 	newer = second_version();
 	holder = pw_peer_new(e, pw_store.revision + 1);
-	ev_stop(&holder->beat);
-	pw_peer_holds(holder, newer->str);
+	ev_stop(&holder->heartbeat);
+	pw_peer_serve_config(holder, newer->str);
 	informant = pw_peer_new(e, pw_store.revision + 1);
-	pw_peer_names(informant, holder);
+	pw_peer_name_holder(informant, holder);
 	CU_ASSERT(version_arrives(e, 2, 2000));
-	CU_ASSERT_EQUAL(informant->asks, 1);
-	CU_ASSERT_EQUAL(holder->asks, 1);
+	CU_ASSERT_EQUAL(informant->copy_requests, 1);
+	CU_ASSERT_EQUAL(holder->copy_requests, 1);
 	g_string_free(newer, TRUE);
 	pw_peers_end();
 	pw_end();
