--- a/include/saddlehead/length.h
+++ b/include/saddlehead/length.h
@@ -12,7 +12,7 @@
 	double first_token_us;   /* time from sending to the first token; 0: no sample yet */
 	double wait_factor; /* ratio of actual to predicted waits for memory; 0: no sample yet
 			     */
-	uint32_t answers;   /* responses that came in time, streamed or not */
+	uint32_t answers;   /* answers that came in time, streamed or not */
 };
 
 /* Records a generation that ended by itself after this many tokens. hint: the caller's
--- a/include/saddlehead/limit.h
+++ b/include/saddlehead/limit.h
@@ -6,7 +6,7 @@
 #define LIMIT_NONE (-1.0)
 
 /* One announcement. The exact time is unknown: it lies between sending the request and
- * receiving the response. */
+ * receiving the answer. */
 struct limit_report {
 	double per_s; /* requests per second from all instances together; LIMIT_NONE: unlimited
 		       */
--- a/include/saddlehead/quota.h
+++ b/include/saddlehead/quota.h
@@ -11,7 +11,7 @@
 
 enum quota_kind {
 	QUOTA_COLD,  /* it has just started and would be overloaded by its normal rate */
-	QUOTA_LIMIT, /* it announced a rate limit in its responses */
+	QUOTA_LIMIT, /* it announced a rate limit in its answers */
 	QUOTA_KINDS
 };
 
@@ -36,8 +36,8 @@
 int64_t quota_window_us(const struct quota_bound *b);
 
 /* Requests per window that connected instances together may send to it. Two partitions of a
- * fleet may both send this many. At least one for a QUOTA_LIMIT, however low, as only a
- * response shows that the limit is over. */
+ * fleet may both send this many. At least one for a QUOTA_LIMIT, however low, as only an
+ * answer shows that the limit is over. */
 uint32_t quota_sum(const struct quota_bound *b);
 
 /* Share of the instance with this rank (from 0) among the sharers. The shares add up to sum. */
--- a/include/saddlehead/rollout.h
+++ b/include/saddlehead/rollout.h
@@ -1,6 +1,6 @@
 /*
  * Rollout of a new version of a service: first a bounded share of the requests goes to it
- * (canary), and its responses are compared with those of the old version in the same period;
+ * (canary), and its answers are compared with those of the old version in the same period;
  * then it takes over or is rolled back. Pure functions; the caller adds up the counts of all
  * instances.
  */
@@ -22,7 +22,7 @@
 
 /* ---- evidence: rollout_judge.c ---- */
 
-#define ROLLOUT_TIMES 18 /* histogram classes of response times, from 5 ms to 5 s */
+#define ROLLOUT_TIMES 18 /* histogram classes of answer times, from 5 ms to 5 s */
 #define ROLLOUT_ROUTES 8 /* counted separately; further ones are added to the last */
 
 struct rollout_count {
@@ -40,7 +40,7 @@
 	int n;
 };
 
-/* Records the end of an exchange. took_us: time to its response (of a stream: to its first
+/* Records the end of an exchange. took_us: time to its answer (of a stream: to its first
  * event); negative if it must not be counted because the server was cold. */
 void rollout_record(struct rollout_tally *t, uint32_t route, enum rollout_side side, int bad,
 		    int64_t took_us);
@@ -51,11 +51,11 @@
 /* Counts behind a verdict: of one route, or of all (route 0). */
 struct rollout_reason {
 	uint32_t route;
-	int slow; /* judged by response times, not by failed responses */
+	int slow; /* judged by answer times, not by failed answers */
 	uint32_t new_bad, new_all, old_bad, old_all;
 };
 
-/* Compares the responses of both versions. ROLLOUT_GOOD needs enough responses on each route in
+/* Compares the answers of both versions. ROLLOUT_GOOD needs enough answers on each route in
  * use; fewer are enough if last is set (the order's time is nearly over). */
 enum rollout_verdict rollout_judge(const struct rollout_tally *t, int last,
 				   struct rollout_reason *why);
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -201,8 +201,8 @@
 	return r[scale_draw(next_draw(draw), (uint32_t)pool_size(r, m, j))].index;
 }
 
-/* Time until its memory has arrived, in tokens over a link within a data centre. Transfers
- * already in progress come first. */
+/* Time until the memory of the generation has arrived there, in tokens over a link within a
+ * data centre. Transfers already in progress come first. */
 static uint64_t arrival_cost(const struct place_server *s, const struct place_job *j)
 {
 	if (s->other_region) return (s->inbound + memory_needed(j)) * REGION_LINK_FACTOR;
@@ -278,7 +278,7 @@
 }
 
 /* Expected time of a call there in microseconds. Samples with high uncertainty are discounted:
- * otherwise a server whose first responses happened to be slow would get no calls that correct
+ * otherwise a server whose first answers happened to be slow would get no calls that correct
  * the average. */
 static double call_us(const struct place_server *s, double least_us)
 {
--- a/src/core/rollout_judge.c
+++ b/src/core/rollout_judge.c
@@ -1,4 +1,4 @@
-/* Compares the responses of two versions in the same period. */
+/* Compares the answers of two versions in the same period. */
 #include <math.h>
 #include <saddlehead/rollout.h>
 #include <string.h>
@@ -14,13 +14,13 @@
 #define BAD_MARGIN 0.04
 #define SLOW_TIMES 1.5
 #define SLOW_MARGIN 0.1
-#define BAD_MIN 4 /* failed responses: fewer may be chance, whatever their rate */
+#define BAD_MIN 4 /* failed answers: fewer may be chance, whatever their rate */
 #define CHANCE_MAX 1e-5
-/* Responses of the old version that a comparison needs. */
+/* Answers of the old version that a comparison needs. */
 #define OLD_MIN 20
 
-#define GOOD_MIN 20 /* responses of the new version */
-/* Responses of the new version on each route with at least a tenth of the old version's. */
+#define GOOD_MIN 20 /* answers of the new version */
+/* Answers of the new version on each route with at least a tenth of the old version's. */
 #define GOOD_ROUTE_MIN 6
 #define GOOD_ROUTE_PART 10
 #define GOOD_LAST_MIN 10
@@ -131,7 +131,7 @@
 	return i;
 }
 
-/* Responses in class from or a slower one. */
+/* Answers in class from or a slower one. */
 static struct share slow_share(const struct rollout_count *c, int from)
 {
 	struct share s = {0, timed_answers(c)};
@@ -196,7 +196,7 @@
 		for (side = 0; side < ROLLOUT_SIDES; side++)
 			add_count(&all.of[side], &t->route[i].of[side]);
 	}
-	/* Response times are not compared over all routes: the mix of routes may differ between
+	/* Answer times are not compared over all routes: the mix of routes may differ between
 	 * the versions. */
 	set_reason(why, 0, 0, bad_share(&all.of[ROLLOUT_NEW]), bad_share(&all.of[ROLLOUT_OLD]));
 	if (why->old_all >= OLD_MIN &&
--- a/src/fleet/be.c
+++ b/src/fleet/be.c
@@ -8,8 +8,9 @@
 #include <errno.h>
 #include <string.h>
 
-/* How long a suspect engine gets no new work. One that really leaves is gone by then. With
- * less, it would get new work before it stops: nobody probes it once its streams have moved. */
+/* How long a server suspected to leave gets no new work. One that really leaves is gone by
+ * then. With less, it would get new work before it stops: nobody probes it once its streams
+ * have moved. */
 #define SUSPECT_US 3000000
 /* A server listed later than this after the first entry is new or has returned, and may be
  * cold; those listed earlier were in use before this instance started. */
@@ -19,7 +20,7 @@
 void (*be_on_leaving)(struct be *b);
 void (*be_on_incarnation_end)(struct be *b);
 void (*be_on_new)(struct be *b);
-uint32_t (*be_ro_part)(const struct be *b);
+uint32_t (*be_ro_role)(const struct be *b);
 int (*be_is_instance)(const struct sockaddr_in *at);
 
 static GHashTable *by_id, *by_service;
@@ -117,7 +118,7 @@
 	b->state_since_us = clock_us();
 	b->drained_us = be_dc_is_drained(b->dc) ? b->state_since_us : 0;
 	if (be_version_is_blocked(b->service, b->version)) b->blocked_us = b->state_since_us;
-	if (be_ro_part) b->ro_part = be_ro_part(b);
+	if (be_ro_role) b->ro_role = be_ro_role(b);
 	if (!first_listed_us) first_listed_us = b->state_since_us;
 	if (b->state_since_us - first_listed_us > INITIAL_LIST_US)
 		b->available_us = b->state_since_us;
--- a/src/fleet/be_health.c
+++ b/src/fleet/be_health.c
@@ -3,11 +3,11 @@
 #include "clock.h"
 #include "jlog.h"
 
-#define FAILURE_WEIGHT 0.25    /* of the newest exchange: three failures in a row eject */
-#define FAILURE_RATE_MAX 0.5   /* a server with a higher rate is ejected */
+#define FAILURE_WEIGHT 0.25  /* weight of the newest exchange: three failures in a row eject */
+#define FAILURE_RATE_MAX 0.5 /* a server with a higher rate is ejected */
 #define FAILURE_RATE_RETRY 0.4 /* after an ejection: one more failure ejects it again */
-#define LATENCY_WEIGHT 0.2     /* of the newest answer: about five determine the average */
-#define LATENCY_SAMPLES_MIN 5  /* fewer may all be slow by chance */
+#define LATENCY_WEIGHT 0.2 /* weight of the newest answer: about five determine the average */
+#define LATENCY_SAMPLES_MIN 5 /* fewer may all be slow by chance */
 /* Bad outcomes in a row, of different instances, that eject: one may be chance. */
 #define BAD_STREAK 2
 #define SELF 0 /* this instance's number among those whose outcomes are counted */
--- a/src/fleet/cache.c
+++ b/src/fleet/cache.c
@@ -10,7 +10,7 @@
 
 /* Lapsed entries are listed again within about two seconds of the store's return. */
 #define RELIST_US 2000000
-/* Odd, with bits all over, as revisions are close together. */
+/* Odd, with bits set throughout the word, as revisions are close together. */
 #define DIGEST_MULTIPLIER 2654435761u
 
 struct cached_item {
--- a/src/fleet/mesh.c
+++ b/src/fleet/mesh.c
@@ -30,7 +30,7 @@
 	if (self_draining != draining) mesh_roles_stale();
 	self_ready = ready;
 	self_draining = draining;
-	/* It is no hub from now on, and its next heartbeat may be a second away. */
+	/* This instance is no hub from now on, and its next heartbeat may be a second away. */
 	if (drain_begins) mesh_heartbeat_now();
 }
 
--- a/src/fleet/mesh_in.c
+++ b/src/fleet/mesh_in.c
@@ -49,9 +49,9 @@
 	m->hb.revs.backends = MAX(m->hb.revs.backends, r.backends);
 }
 
-/* Revisions up to which a frame makes the lists complete. The sender states that of the servers
- * (complete_to), as its newest item may have changed again since. Earlier releases don't, and
- * their newest item counts. */
+/* Revisions up to which a frame makes the lists complete. The sender states the revision of the
+ * list of servers (complete_to), as its newest item may have changed again since. Earlier
+ * releases don't, and their newest item counts. */
 struct frame_revs {
 	struct cache_revs newest;
 	uint64_t complete_to;
--- a/src/fleet/mesh_link.c
+++ b/src/fleet/mesh_link.c
@@ -90,7 +90,7 @@
 void mesh_renew_link(struct member *m, const char *why)
 {
 	met_add(MET_PEER_RENEWED, 1);
-	/* Once per link that worked: a dead one is opened again and again. */
+	/* Logged once per link that worked: a dead one is opened again and again. */
 	if (m->acked_us >= m->link_up_us) log_renewed(m, why);
 	cn_reset(&m->link);
 	mesh_connect(m);
--- a/src/fleet/mesh_part.c
+++ b/src/fleet/mesh_part.c
@@ -9,7 +9,7 @@
 
 /* Microseconds: an instance not reported within this time has left. */
 #define FORGET_US 600000000
-#define CHECK_US 60000000 /* between checks for these */
+#define CHECK_US 60000000 /* interval of the checks for instances that have left */
 #define RETRY_US 50000    /* between computations while there is no part yet */
 #define KNOWN_MAX 4096    /* more than any fleet has */
 #define ABSENT_FIELDS 3   /* of each: address, link, microseconds since it was reported */
--- a/src/fleet/mesh_rank.c
+++ b/src/fleet/mesh_rank.c
@@ -7,7 +7,7 @@
 /* Until heartbeats of the others have arrived, the largest possible number of them is assumed.
  */
 #define SETTLE_US 1500000
-#define MULTIPLIER 2654435761u /* odd, with bits spread over the whole word */
+#define MULTIPLIER 2654435761u /* odd, with bits set throughout the word */
 
 static int64_t started_us;
 
--- a/src/fleet/mesh_roles.c
+++ b/src/fleet/mesh_roles.c
@@ -17,7 +17,7 @@
 
 static GArray *peers; /* of struct roles_peer, by rank once chosen */
 static int stale = 1; /* something changed since the last computation */
-static int self_active, self_hub, self_watches_store, self_probes_store, store_answers;
+static int self_active, self_hub, self_watches_store, self_retries_store, store_answers;
 static int64_t load_us; /* when this instance's load last changed; 0: never */
 
 void mesh_roles_stale(void)
@@ -93,7 +93,7 @@
 			set_member(p[i].user, &p[i]);
 	}
 	self_watches_store = roles_watches(p, n);
-	self_probes_store = roles_retries_store(p, n);
+	self_retries_store = roles_retries_store(p, n);
 	store_answers = roles_store_up(p, n);
 	met_set(MET_G_ACTIVE, self_active);
 }
@@ -136,10 +136,10 @@
 	return self_watches_store;
 }
 
-int mesh_probes_store(void)
+int mesh_retries_store(void)
 {
 	refresh();
-	return self_probes_store;
+	return self_retries_store;
 }
 
 int mesh_store_answers(void)
--- a/src/fleet/pace.c
+++ b/src/fleet/pace.c
@@ -30,7 +30,8 @@
 	cold_slack = slack;
 }
 
-/* When it last became available again after a time without work. */
+/* When b last became available again after a time without work; 0: not since the start of this
+ * instance. */
 static int64_t last_available_us(const struct be *b, int64_t now)
 {
 	int64_t at = b->available_us;
@@ -65,7 +66,8 @@
 	return 0;
 }
 
-/* Until when this instance may have sent to it without respecting the bound. */
+/* Until when this instance or an earlier incarnation of it may have sent to b without
+ * respecting the bound. */
 static int64_t unpaced_until_us(const struct be *b, enum quota_kind kind)
 {
 	return kind == QUOTA_LIMIT ? MAX(b->limit_changed_us, started_us) : started_us;
@@ -105,12 +107,12 @@
 
 static int64_t backoff_wait_us(struct be *b, int64_t now)
 {
-	struct be_backoff *r = &b->backoff;
+	struct be_backoff *o = &b->backoff;
 
-	if (!r->until_us) return 0;
-	if (now < r->until_us) return r->until_us - now;
-	if (r->in_flight < r->max_in_flight) return 0;
-	r->last_full_us = now;
+	if (!o->until_us) return 0;
+	if (now < o->until_us) return o->until_us - now;
+	if (o->in_flight < o->max_in_flight) return 0;
+	o->last_full_us = now;
 	return RESUME_CHECK_US;
 }
 
@@ -234,12 +236,12 @@
 
 void pace_succeeded_after_backoff(struct be *b)
 {
-	struct be_backoff *r = &b->backoff;
+	struct be_backoff *o = &b->backoff;
 
-	if (r->max_in_flight < MAX(b->slots, RESUMED_MIN))
-		r->max_in_flight++;
-	else if (clock_us() - r->last_full_us > RESUMED_US)
-		r->until_us = 0;
+	if (o->max_in_flight < MAX(b->slots, RESUMED_MIN))
+		o->max_in_flight++;
+	else if (clock_us() - o->last_full_us > RESUMED_US)
+		o->until_us = 0;
 }
 
 void pace_end_after_backoff(struct be *b)
--- a/src/fleet/quarantine.c
+++ b/src/fleet/quarantine.c
@@ -12,7 +12,7 @@
 /* Delay from a crash to the verdict: each instance that had a run on the server detects the
  * crash by itself, some sooner than others. */
 #define JUDGE_US 200000
-#define ANSWER_POLL_US 5000 /* how often the answers of the others are polled */
+#define ANSWER_POLL_US 5000 /* how often to check whether all others have answered a query */
 /* Peers send their verdicts to a starting instance within some ms of its first links. */
 #define SYNC_US 100000
 #define SYNC_MAX_US 1000000 /* no peer is reached by then: it serves without their verdicts */
--- a/src/fleet/ro.c
+++ b/src/fleet/ro.c
@@ -167,7 +167,7 @@
 	started_us = clock_us();
 	orders = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ro_free);
 	ticker.fire = on_tick;
-	be_ro_part = ro_part_of;
+	be_ro_role = ro_role_of;
 	cache_on_rollout = ro_on_order;
 	ro_mesh_start();
 }
--- a/src/fleet/ro_choose.c
+++ b/src/fleet/ro_choose.c
@@ -9,7 +9,7 @@
 #define BROKEN_US 1000000 /* exchanges that break within it at one server count once */
 #define CANARIES_MIN 2    /* servers: a single one may fail for a reason of its own */
 
-uint32_t ro_part_of(const struct be *b)
+uint32_t ro_role_of(const struct be *b)
 {
 	const struct ro *o = ro_find(b->service);
 
@@ -36,13 +36,13 @@
 	for (i = 0; list && i < list->len; i++) {
 		struct be *b = g_ptr_array_index(list, i);
 
-		b->ro_part = ro_part_of(b);
-		if (b->ro_part == RO_NEW && !be_is_leaving(b)) g_ptr_array_add(candidates, b);
+		b->ro_role = ro_role_of(b);
+		if (b->ro_role == RO_NEW && !be_is_leaving(b)) g_ptr_array_add(candidates, b);
 	}
 	qsort(candidates->pdata, candidates->len, sizeof *candidates->pdata, by_hash);
 	max = MAX((uint32_t)ceil(candidates->len * ro_cfg->exposure_share), CANARIES_MIN);
 	for (i = 0; i < candidates->len && i < max; i++)
-		((struct be *)g_ptr_array_index(candidates, i))->ro_part = RO_CANARY;
+		((struct be *)g_ptr_array_index(candidates, i))->ro_role = RO_CANARY;
 	g_ptr_array_free(candidates, TRUE);
 }
 
@@ -54,7 +54,7 @@
 	for (i = 0; list && i < list->len; i++) {
 		const struct be *b = g_ptr_array_index(list, i);
 
-		if (b->ro_part == RO_OLD && b->state == BE_READY) return 1;
+		if (b->ro_role == RO_OLD && b->state == BE_READY) return 1;
 	}
 	return 0;
 }
@@ -113,18 +113,18 @@
 
 void ro_note_sent(const struct be *b, int first)
 {
-	struct ro *o = b->ro_part ? ro_find(b->service) : NULL;
+	struct ro *o = b->ro_role ? ro_find(b->service) : NULL;
 
 	if (!o) return;
 	o->use.requests += first != 0;
-	if (b->ro_part == RO_OLD) return;
+	if (b->ro_role == RO_OLD) return;
 	o->use.exposed++;
 	met_add(MET_CANARIES, 1);
 }
 
 void ro_note_result(struct be *b, uint32_t route, enum ro_result result, int64_t took_us)
 {
-	struct ro *o = b->ro_part ? ro_find(b->service) : NULL;
+	struct ro *o = b->ro_role ? ro_find(b->service) : NULL;
 	int64_t now = clock_us(), broke_us = b->last_broken_us;
 
 	if (!o) return;
@@ -132,7 +132,7 @@
 		b->last_broken_us = now;
 		if (now - broke_us < BROKEN_US) return;
 	}
-	rollout_record(&o->own, route, b->ro_part == RO_OLD ? ROLLOUT_OLD : ROLLOUT_NEW,
+	rollout_record(&o->own, route, b->ro_role == RO_OLD ? ROLLOUT_OLD : ROLLOUT_NEW,
 		       result != RO_OK, took_us);
 	o->own_changed = 1;
 }
@@ -145,7 +145,7 @@
 	for (i = 0; list && i < list->len; i++) {
 		const struct be *b = g_ptr_array_index(list, i);
 
-		if (b->ro_part == RO_OLD) n += b->own.runs;
+		if (b->ro_role == RO_OLD) n += b->own.runs;
 	}
 	return n;
 }
--- a/src/fleet/ro_mesh.c
+++ b/src/fleet/ro_mesh.c
@@ -98,7 +98,7 @@
 	}
 }
 
-/* A frame without a tally leaves the previous tally. */
+/* Records what a frame reports. A frame without a tally leaves the previous tally. */
 static void update_peer(struct ro *o, const char *from, const msgpack_object_array *a)
 {
 	struct ro_peer *t = g_hash_table_lookup(o->peers, from);
@@ -130,7 +130,7 @@
 	o->began_us = MIN(o->began_us, clock_us() - MAX(mesh_int(&a->ptr[4]), 0));
 	o->written = MAX(o->written, written);
 	update_peer(o, from, a);
-	/* The instance that decided may not have a link to all. */
+	/* The instance that advanced the stage may not have a link to all. */
 	if (ro_advance(o, stage, from) && mesh_self_hub()) ro_send_stage(o);
 	return 0;
 }
--- a/src/fleet/ro_order.c
+++ b/src/fleet/ro_order.c
@@ -8,7 +8,7 @@
 /* An order seen this soon after the start (beyond join_us) may have been followed by the
  * previous incarnation of this instance, which used its part of the slack. */
 #define SETTLED_US 2000000
-/* Most random delay before the first write, so that mostly one writer is first. */
+/* Maximum of the random delay before the first write, so that usually one writer is first. */
 #define WRITE_JITTER_US 200000
 
 void ro_free(gpointer p)
--- a/src/fleet/watch.c
+++ b/src/fleet/watch.c
@@ -18,7 +18,8 @@
  * it in one piece where the store takes a call for each page. */
 #define PEERS_WAIT_US 4000000
 #define IDLE_CHECK_US 100000 /* how often an idle watcher checks whether it must call */
-#define SETTLE_US 600000     /* after the start: other instances have been received by then */
+#define SETTLE_US \
+	600000 /* after the start: heartbeats of other instances have arrived by then */
 /* Pause after a change, so that changes made with it come in one reply. It is random, so that
  * one of the watching instances soon watches again. */
 #define PAUSE_MIN_US 30000
@@ -33,7 +34,8 @@
 	uint64_t at;
 	/* Changes after this one are cached; keys removed before it are not. */
 	uint64_t from;
-	/* Changes made since the listing, when nobody watched for this one, were requested. */
+	/* Set once the changes made since the listing, while nobody watched for this instance,
+	 * were requested. */
 	int caught_up;
 	int polling;               /* call returns at once */
 	int64_t awaiting_since_us; /* since when the list is awaited from peers; 0: it is not */
@@ -113,7 +115,8 @@
 	jlog_end(g);
 }
 
-/* Which instances watch for all is known once others have been received, if there are any. */
+/* Which instances watch for all is known once heartbeats of others, if there are any, have
+ * arrived. */
 static int must_watch(void)
 {
 	int alone = mesh_count_live() == 1 && mesh_most_members() > 1;
@@ -217,7 +220,7 @@
 	return !w->caught_up || cached_revision(w) > w->at;
 }
 
-/* Standby instances forward to nobody, and hundreds of them would poll. */
+/* Only hubs poll: standby instances forward to nobody, and there are hundreds of them. */
 static int must_poll(const struct watcher *w)
 {
 	return has_gap(w) && mesh_self_hub() && mesh_has_synced_hub();
@@ -255,7 +258,7 @@
 {
 	if (watch_store_up() || retries_at_once(w) || clock_us() >= w->backoff_until_us)
 		return 1;
-	return mesh_probes_store() && !cache_conf() && w->list.kind == DL_CONF;
+	return mesh_retries_store() && !cache_conf() && w->list.kind == DL_CONF;
 }
 
 static void watch(struct watcher *w, int64_t wait_ms)
--- a/src/fleet/watch_check.c
+++ b/src/fleet/watch_check.c
@@ -1,5 +1,5 @@
 /* Lists the watched lists again, a few pages in each turn, so that the cost does not grow with
- * the list. For the rest of a list a poll shows the changes that a silent watch missed. */
+ * the list. For the other pages a poll shows the changes that a silent watch missed. */
 #include "cache.h"
 #include "clock.h"
 #include "mesh.h"
--- a/src/fleet/watch_confirm.c
+++ b/src/fleet/watch_confirm.c
@@ -13,9 +13,10 @@
 #define CONFIRM_AGE_US 900000    /* age at which the configuration is confirmed again */
 #define CONFIRM_SPREAD_US 900000 /* random addition, so that one instance asks for all */
 #define TICK_US 100000           /* how often its age is checked */
-/* Added where other hubs receive no caller traffic and should ask for all. */
+/* Added at active instances of a large fleet: hubs without caller traffic should ask for all.
+ */
 #define ACTIVE_DELAY_US 500000
-#define STANDBY_DELAY_US 1500000 /* added for standbys, which few receive from: ask last */
+#define STANDBY_DELAY_US 1500000 /* added at standbys, which forward to nobody */
 #define RETRY_US 800000          /* after a failure: the store's return is noticed within 1 s */
 #define HOLD_MAX_US 1500000      /* a megabyte, in base64, takes 1.2 s on a link of 10 Mbit/s */
 #define LATE_US 300000           /* without an answer; usually one takes some ms */
@@ -106,7 +107,7 @@
 static int may_confirm(int64_t now)
 {
 	struct roles_stale o = {.hub = mesh_self_hub(),
-				.retries_store = mesh_probes_store(),
+				.retries_store = mesh_retries_store(),
 				.store_up = watch_store_up()};
 
 	if (now < not_before_us) return 0;
--- a/src/internal/be.h
+++ b/src/internal/be.h
@@ -53,8 +53,8 @@
 	int unreadable;       /* its entry can't be parsed at present */
 	int64_t drained_us;   /* since when its data centre is drained; 0: it is not */
 	int64_t blocked_us;   /* since when its version is blocked; 0: it is not */
-	/* Its part in a rollout of its service: bits of enum ro_part. */
-	uint32_t ro_part;
+	/* Its role in a rollout of its service: a bit of enum ro_role. */
+	uint32_t ro_role;
 	int64_t last_broken_us; /* when an exchange with it last broke off */
 	uint32_t slots;
 	int64_t state_since_us; /* monotonic: last change of state */
@@ -199,8 +199,8 @@
 extern void (*be_on_incarnation_end)(struct be *b);
 /* Whether an instance has this address, so that no backend server can; NULL: unknown. */
 extern int (*be_is_instance)(const struct sockaddr_in *at);
-/* Its part in a rollout of its service, called when it is first listed; set once. */
-extern uint32_t (*be_ro_part)(const struct be *b);
+/* Its role in a rollout of its service, called when it is first listed; set once. */
+extern uint32_t (*be_ro_role)(const struct be *b);
 /* Called when a new server or incarnation is listed; set once. */
 extern void (*be_on_new)(struct be *b);
 /* How long a server whose entry went may still get work as a last resort; microseconds. */
--- a/src/internal/mesh.h
+++ b/src/internal/mesh.h
@@ -18,7 +18,7 @@
 /* Whether this instance is one of the few that watch the store for all. */
 int mesh_watches_store(void);
 /* Whether this instance is one of the few that keep calling a store that answers no hub. */
-int mesh_probes_store(void);
+int mesh_retries_store(void);
 /* Whether the store answers some hub, as far as their heartbeats report. */
 int mesh_store_answers(void);
 /* Random back-off in microseconds, before an instance that is neither of these calls the store
--- a/src/internal/quar.h
+++ b/src/internal/quar.h
@@ -1,14 +1,14 @@
 /*
  * Quarantine of requests that crash the backend servers that run them. Finds the request that
  * caused a series of crashes among those that ran on the same servers, and decides whether it
- * may be sent again. A pure table: crashes, completed runs and verdicts of other instances go
+ * may be sent again. A pure table: crashes, successful runs and verdicts of other instances go
  * in with their times, decisions come out. There is no coordination; two instances with the
  * same evidence come to the same verdict.
  *
  * A request is quarantined if at least three servers crashed under it, none of its runs
- * completed, and chance does not explain that. These crashes don't count against a request:
- * - crashes before one of its runs completed, or shortly after: a frequent request runs on
- * each server that crashes, but also completes elsewhere all the time;
+ * succeeded, and chance does not explain that. These crashes don't count against a request:
+ * - crashes before one of its runs succeeded, or shortly after: a frequent request runs on
+ * each server that crashes, but also succeeds elsewhere all the time;
  * - crashes simultaneous with others where it did not run: they have another cause;
  * - crashes under a request that is quarantined already: those that ran beside it did not
  * cause them.
@@ -30,7 +30,7 @@
 #define QUAR_RUNS 8
 #define QUAR_NAME 128    /* size that holds any name of the fleet, terminator included */
 #define QUAR_THRESHOLD 3 /* crashes after which a request may be quarantined */
-/* A completed run also excuses crashes up to this much later: a frequent request completes more
+/* A successful run also excuses crashes up to this much later: a frequent request succeeds more
  * often than that, and reports take a moment to reach all instances. Microseconds. */
 #define QUAR_SUCCESS_US 2000000
 
@@ -52,7 +52,7 @@
 	struct fp fp;
 	struct quar_run run[QUAR_RUNS]; /* oldest first */
 	int nruns;
-	int64_t success_us;      /* when a run of it last completed, or was seen to have run for
+	int64_t success_us;      /* when a run of it last succeeded, or was seen to have run for
 				    long; 0: never */
 	uint32_t round, cleared; /* quarantined while round > cleared; both only increase */
 	int64_t quarantined_us;  /* start of the last quarantine */
@@ -71,7 +71,7 @@
 /* Records that the request had run there for ran_us when the server crashed. Returns 1 if that
  * is new. */
 int quar_add_run(struct quar *q, const struct fp *fp, uint32_t crash, int64_t ran_us);
-/* Records a completed run of the request. Returns 1 if that changes what counts against it, 2
+/* Records a successful run of the request. Returns 1 if that changes what counts against it, 2
  * if it ends its quarantine, otherwise 0. */
 int quar_add_success(struct quar *q, const struct fp *fp, int64_t at_us);
 
@@ -95,7 +95,7 @@
 	QUAR_REFUSE, /* quarantined: not again */
 	QUAR_TRIAL   /* its quarantine has run out: this one run tests the verdict */
 };
-/* in_flight: other runs of it without a response yet, over all instances. */
+/* in_flight: other runs of it without an answer yet, over all instances. */
 enum quar_action quar_check(const struct quar *q, const struct fp *fp, uint32_t in_flight,
 			    int64_t now_us);
 
--- a/src/internal/ro.h
+++ b/src/internal/ro.h
@@ -6,9 +6,9 @@
 #include "be.h"
 #include "entry_cfg.h"
 
-/* Role of a server in a rollout of its service: a bit in ro_part of struct be, which is 0
+/* Role of a server in a rollout of its service: a bit in ro_role of struct be, which is 0
  * without a rollout. */
-enum ro_part {
+enum ro_role {
 	RO_OLD = 1,
 	RO_NEW = 2,
 	RO_CANARY = 4, /* of the new version, receives the requests for canaries */
@@ -25,7 +25,7 @@
 uint32_t ro_allowed_fallback(const char *service);
 static inline int ro_matches(const struct be *b, uint32_t roles)
 {
-	return !b->ro_part || (b->ro_part & roles);
+	return !b->ro_role || (b->ro_role & roles);
 }
 
 /* A request is sent to b. first: for the first time. */
--- a/src/internal/ro_impl.h
+++ b/src/internal/ro_impl.h
@@ -58,7 +58,7 @@
 
 /* ro_choose.c */
 /* Role of a server, before canaries are chosen. */
-uint32_t ro_part_of(const struct be *b);
+uint32_t ro_role_of(const struct be *b);
 void ro_choose_canaries(const struct ro *o);
 /* Blocks all versions but the new one. */
 void ro_block_old(const struct ro *o);
--- a/src/internal/rq_impl.h
+++ b/src/internal/rq_impl.h
@@ -99,7 +99,7 @@
 	int64_t wait_began_us;       /* when it joined the queue; 0: it has not waited */
 	int64_t expected_wait_us;    /* expected wait at that time ... */
 	int64_t forecast_us;         /* ... and by the forecast alone, without past errors */
-	uint32_t rollout_parts; /* bits of enum ro_part: servers that it may go to at present */
+	uint32_t rollout_roles; /* bits of enum ro_role: servers that it may go to at present */
 	int sends;              /* attempts started */
 	int retry_denied;       /* the retry budget denied it a retry */
 	int unreached_count;    /* attempts that reached no server */
--- a/src/relay/rq_answer.c
+++ b/src/relay/rq_answer.c
@@ -140,7 +140,8 @@
 		att_prompt_read(att);
 		att_recount(att);
 		be_succeeded(att->be, 0);
-		/* Not at its end, which may come too late for a judgement. */
+		/* Reported now, as the end of the stream may come too late for the verdict on
+		 * the version. */
 		att_report_outcome(att, RO_OK);
 		if (be_is_leaving(r->attempt->be)) move_begin(r);
 	}
--- a/src/relay/rq_load.c
+++ b/src/relay/rq_load.c
@@ -3,7 +3,7 @@
 #include "mesh.h"
 #include "rq_impl.h"
 
-/* Between two tokens of a busy engine, until one was measured. */
+/* Assumed interval between two tokens of a busy engine until there is a sample. */
 #define DEFAULT_TOKEN_US 9000
 #define GROWTH_MAX 100000 /* tokens: growth beyond this is counted when it happens */
 
@@ -41,7 +41,7 @@
 	return r->job.prompt + made + MIN(more, GROWTH_MAX);
 }
 
-/* Whether its memory would have to be copied if its engine left, and can be. */
+/* Whether the memory of the run can be copied and would have to be if its engine left. */
 static int is_unreplicated(const struct attempt *att)
 {
 	const struct rq *r = att->rq;
--- a/src/relay/rq_move.c
+++ b/src/relay/rq_move.c
@@ -64,7 +64,8 @@
 	ev_in(&r->move.timer, in_us);
 }
 
-/* How long the moves of instances that come first may take on the engine's link. */
+/* Time that the moves of instances earlier in the order may take on the engine's link. before:
+ * their tokens. */
 static int64_t link_wait_us(const struct rq *r, uint32_t before)
 {
 	uint64_t bits = (uint64_t)before * r->service->token_bytes * 8 * CROSS_DC_FACTOR;
--- a/src/relay/rq_move_copy.c
+++ b/src/relay/rq_move_copy.c
@@ -17,7 +17,7 @@
 #define QUICK_COPY_US 60000
 /* Longest wait before the source's rate limit is checked again. */
 #define RATE_RECHECK_US 100000
-/* After the notice: from then on the source is stopped in any case. */
+/* Time after the notice to leave from which on the source is stopped in any case. */
 #define FINAL_COPY_DUE_US 1200000
 
 static void ignore_end(struct hx *x, int err)
@@ -26,7 +26,8 @@
 	(void)err;
 }
 
-/* Not while the server's rate limit allows no request: the copy expires by itself. */
+/* Asks the server to delete the copy, unless its rate limit allows no request now: then the
+ * copy expires by itself. */
 static void drop_copy_at(struct be *at, const char *name)
 {
 	GString *out;
@@ -72,7 +73,7 @@
 	}
 	if (++m->tries > MOVE_TRIES_MAX) {
 		m->state = MOVE_NONE;
-		att_recount(r->attempt); /* others need not wait for it */
+		att_recount(r->attempt); /* instances later in the order need not wait for it */
 		return;
 	}
 	move_clear_servers(m);
@@ -90,7 +91,8 @@
 	move_order_copy(r, 0);
 }
 
-/* An engine gives a copy a new handle, or continues the copy that it has given one. */
+/* The engine has made a new copy, with another handle, or has continued the present one. Drops
+ * the copy that is replaced. */
 static void replace_handle(struct move *m, const struct dl_move_reply *moved)
 {
 	if (strcmp(m->handle, moved->handle)) move_drop_copy(m);
@@ -106,8 +108,8 @@
 	return be_leaving_for_us(r->move.source) < FINAL_COPY_DUE_US;
 }
 
-/* Its engine has preempted it for lack of memory: there is nothing to copy until the prompt has
- * been read again. */
+/* The source has preempted the run for lack of memory: there is nothing to copy until the
+ * prompt has been read again. */
 static void source_preempted(struct rq *r)
 {
 	met_add(MET_PREEMPTIONS, 1);
--- a/src/relay/rq_move_next.c
+++ b/src/relay/rq_move_next.c
@@ -9,14 +9,16 @@
  * the source ran for all that time; 400 ms are allowed, of which the cancellation of the source
  * and a delayed event loop (a megabyte of configuration: 36 ms of processor time) need some. */
 #define OVERLAP_MAX_US 120000
-/* The same without a running source: the connection may be silent for good, and a new one may
- * work. */
+/* Timeout of the next engine's answer without a running source: the connection may be silent
+ * for good, and a new one may work. */
 #define NEXT_TIMEOUT_US 1000000
 #define PAUSE_MAX_US 2000000 /* callers abandon a stream that pauses for longer */
-/* Of one copy: an engine that sheds a third of its requests accepts by then. */
+/* Refusals of one copy that are followed by another try: an engine that sheds a third of its
+ * requests accepts by then. */
 #define COPY_REFUSALS_MAX 3
 
-/* For an engine with a rate limit. 1 when the stream waits for a send slot there, or is lost.
+/* Waits for a send slot if b limits its rate. 1 when the stream waits, or is lost; 0 when it
+ * may be sent now.
  */
 static int wait_for_rate(struct rq *r, struct be *b)
 {
@@ -135,8 +137,8 @@
 	move_reset(r);
 }
 
-/* An engine that is full or sheds load answers like one that has no such copy; the copy may be
- * available a moment later. */
+/* Whether to ask for the copy once more. An engine that is full or sheds load answers like one
+ * that has no such copy; the copy may be available a moment later. */
 static int may_ask_again(struct move *m, int rejected)
 {
 	return rejected && ++m->refusals <= COPY_REFUSALS_MAX;
--- a/src/relay/rq_pick.c
+++ b/src/relay/rq_pick.c
@@ -10,7 +10,8 @@
 #include <string.h>
 
 #define REPLICA_PERCENT 90 /* of an engine's memory: replicas are not evicted for requests */
-#define RATE_US 2000000    /* averaging time of this instance's own rate of sends */
+#define RATE_US \
+	2000000 /* averaging time of the rate at which this instance sends generations */
 /* Delay until others learn of a send: it is batched for 1 ms, crosses between data centres in
  * some ms, and is read when its receiver gets to it. */
 #define LOAD_DELAY_US 10000
@@ -30,7 +31,7 @@
 	return conf_allows(r->route, r->group, b->region);
 }
 
-/* In another region, as far as regions are known. */
+/* Whether b is in another region than dc; 0 if either region is unknown. */
 static int in_other_region(const struct be *b, const char *dc)
 {
 	const char *region = be_region_of(dc);
@@ -42,7 +43,7 @@
 {
 	int64_t in_us = be_usable_in(b, now), wait_us;
 
-	if (in_us == INT64_MAX || !ro_matches(b, r->rollout_parts) || !rq_region_allowed(r, b))
+	if (in_us == INT64_MAX || !ro_matches(b, r->rollout_roles) || !rq_region_allowed(r, b))
 		return INT64_MAX;
 	wait_us = pace_wait_us(b, r->service, now);
 	return MAX(in_us, wait_us);
@@ -72,7 +73,7 @@
 
 /* Candidates without free memory that a choice may hold; the remaining places are for others.
  */
-#define FULL_SITES_MAX (PLACE_SERVERS_MAX * 3 / 4)
+#define FULL_SERVERS_MAX (PLACE_SERVERS_MAX * 3 / 4)
 
 /* Candidates of one choice. */
 struct choice {
@@ -97,7 +98,7 @@
 {
 	if (b == c->except) return 0;
 	if (c->last_resort)
-		return be_last_resort(b, c->now) && ro_matches(b, c->r->rollout_parts) &&
+		return be_last_resort(b, c->now) && ro_matches(b, c->r->rollout_roles) &&
 		       rq_region_allowed(c->r, b) && !pace_wait_us(b, c->r->service, c->now);
 	if (!s->usable) c->passed_over[pace_why(b, c->r->service, c->now)] = 1;
 	return s->usable;
@@ -111,7 +112,7 @@
 	rq_fill_server(s, b, c->r, c->dc, c->now);
 	if (!is_candidate(c, b, s)) return 1;
 	if (!place_fits(s, c->job)) {
-		if (c->full == FULL_SITES_MAX) return 1;
+		if (c->full == FULL_SERVERS_MAX) return 1;
 		c->full++;
 	}
 	s->usable = 1;
@@ -176,7 +177,7 @@
 	return chosen(c, place_generation(c->s, c->n, &r->job, g_random_int()));
 }
 
-/* Whether it starts on b without waiting: requests do not wait for a canary. */
+/* Whether the request can start on b without waiting: requests do not wait for a canary. */
 static int can_start_now(const struct rq *r, struct be *b)
 {
 	return b && rq_fits(r, b) && !(r->service->engine && rq_should_wait(r, b));
@@ -187,10 +188,10 @@
 	uint32_t others = ro_allowed_fallback(r->service->name);
 	struct be *b;
 
-	r->rollout_parts = ro_allowed(r->service->name, !r->sends);
+	r->rollout_roles = ro_allowed(r->service->name, !r->sends);
 	b = pick(r, except);
-	if (r->rollout_parts == others || can_start_now(r, b)) return b;
-	r->rollout_parts = others;
+	if (r->rollout_roles == others || can_start_now(r, b)) return b;
+	r->rollout_roles = others;
 	return pick(r, except);
 }
 
@@ -207,7 +208,7 @@
 	struct choice *c;
 	int i;
 
-	r->rollout_parts = ro_allowed(r->service->name, 0);
+	r->rollout_roles = ro_allowed(r->service->name, 0);
 	c = collect(r, &now, source->dc, source);
 	for (i = 0; i < c->n; i++)
 		if (!can_take_move(c->at[i])) c->s[i].usable = 0;
@@ -215,7 +216,7 @@
 }
 
 /* Servers that refuse connections are excluded: the cap on ejections may leave some of them in,
- * and they look emptiest. */
+ * and they have the least load. */
 struct be *rq_pick_replica(struct attempt *att)
 {
 	struct rq *r = att->rq;
@@ -224,7 +225,7 @@
 	int i;
 
 	if (r->route->resumable || r->route->kind != CONF_STREAM) return NULL;
-	r->rollout_parts = ro_allowed(r->service->name, 0);
+	r->rollout_roles = ro_allowed(r->service->name, 0);
 	c = collect(r, &now, att->be->dc, att->be);
 	for (i = 0; i < c->n; i++)
 		if (c->at[i]->refused) c->s[i].usable = 0;
--- a/src/relay/rq_quarantine.c
+++ b/src/relay/rq_quarantine.c
@@ -12,7 +12,7 @@
 #define CHECK_TIMEOUT_US 400000
 /* Time after that for the remaining exchanges that the crash broke off to be noticed. */
 #define COLLECT_US 30000
-/* A stream that runs for so long after its first event counts as completed here: requests that
+/* A stream that runs for so long after its first event counts as successful here: requests that
  * crash engines do so at their beginning. */
 #define PROVEN_AFTER_US 1000000
 /* The last event must be newer: otherwise its engine may have crashed. */
@@ -103,7 +103,7 @@
 	return ck;
 }
 
-/* Closed by the server's side, without a notice that it leaves. */
+/* Whether the server closed the connection without a notice that it leaves. */
 static int may_have_crashed(const struct be *b, int err)
 {
 	return !be_is_leaving(b) && (err == -EPIPE || err == -ECONNRESET);
--- a/src/relay/rq_rate.c
+++ b/src/relay/rq_rate.c
@@ -7,8 +7,8 @@
 #include "pace.h"
 #include "rq_impl.h"
 
-#define ANSWER_FACTOR 2   /* of the usual time of an answer: some take as long */
-#define LEFT_MIN_US 50000 /* at least: slots come some ms late */
+#define ANSWER_FACTOR 2   /* on the usual time of an answer: some take as long */
+#define LEFT_MIN_US 50000 /* least time for an answer: slots come some ms late */
 /* Requests that are refused together retry spread over this fraction of the wait. */
 #define SPREAD_DIVISOR 4
 
@@ -16,7 +16,7 @@
 struct send_slots {
 	const struct rq *r;
 	int64_t now, least;
-	uint32_t parts;
+	uint32_t roles;
 	struct quota_server s[PLACE_SERVERS_MAX];
 	struct be *first; /* the server with the next slot */
 	double answer_us; /* the shortest of their usual answer times; 0: none is known */
@@ -28,7 +28,7 @@
 	struct send_slots *t = arg;
 	int64_t in_us = be_usable_in(b, t->now), wait_us;
 
-	if (in_us == INT64_MAX || !ro_matches(b, t->parts) || !rq_region_allowed(t->r, b))
+	if (in_us == INT64_MAX || !ro_matches(b, t->roles) || !rq_region_allowed(t->r, b))
 		return 1;
 	wait_us = pace_wait_us(b, t->r->service, t->now);
 	t->s[t->n].first_us = MAX(in_us, wait_us);
@@ -47,7 +47,7 @@
 	t.r = r;
 	t.now = clock_us();
 	t.least = QUOTA_NEVER;
-	t.parts = ro_allowed_fallback(r->service->name);
+	t.roles = ro_allowed_fallback(r->service->name);
 	t.first = NULL;
 	t.answer_us = 0;
 	t.n = 0;
@@ -55,7 +55,7 @@
 	return &t;
 }
 
-/* The least time that an answer needs after the slot. */
+/* Time that is left for the answer after the send slot. */
 static int64_t answer_us(const struct rq *r)
 {
 	return MAX((int64_t)collect(r)->answer_us * ANSWER_FACTOR, LEFT_MIN_US);
--- a/src/relay/rq_send.c
+++ b/src/relay/rq_send.c
@@ -59,7 +59,8 @@
 	struct be_load all;
 	GString *g;
 
-	if (!r->service->engine && r->sends < 2) return; /* the line at its end has the same */
+	if (!r->service->engine && r->sends < 2)
+		return; /* the log line at its end states the same */
 	all = rq_total_load(att->be);
 	g = jlog_begin("relay", "request_sent");
 	jlog_str(g, "request", r->in.id);
--- a/src/relay/rq_time.c
+++ b/src/relay/rq_time.c
@@ -4,7 +4,8 @@
 #include <stddef.h>
 
 #define REQUEST_TIME_MAX_US 60000000 /* for requests whose route and caller set no deadline */
-/* Tenths of the latency objective: leaves time for another server's answer within it. */
+/* Timeout of an answer in tenths of the latency objective: leaves time for another server's
+ * answer within it. */
 #define ANSWER_TIMEOUT_TENTHS 6
 #define ANSWER_TIMEOUT_MIN_US 50000 /* at least: an answer takes some tens of ms */
 #define SILENCE_CHECK_US 250000     /* how often a stream's silence is checked */
@@ -42,7 +43,7 @@
 	rq_fail(r, REF_DEADLINE, "the time ran out");
 }
 
-/* Of an engine's memory: with more in use it may have preempted a run. */
+/* Percent of an engine's memory: with more in use it may have preempted a run. */
 #define MEMORY_PRESSURE_PERCENT 85
 
 int64_t rq_prefill_us(const struct rq *r)
--- a/src/relay/rq_wait.c
+++ b/src/relay/rq_wait.c
@@ -4,12 +4,13 @@
 #include "jlog.h"
 #include "rq_impl.h"
 
-/* Of the usual time to a first token: 86 of 100 come within it. */
+/* Factor on the usual time to a first token: 86 of 100 come within it. */
 #define START_FACTOR 1.5
-/* Of the expected wait: one in two takes longer than the mean, and with a factor of 1, callers
- * that are refused in the end were held for four times as long. */
+/* Factor on the expected wait: one in two takes longer than the mean, and with a factor of 1,
+ * callers that are refused in the end were held for four times as long. */
 #define WAIT_FACTOR 2
-#define LISTS_US 100000      /* the store answers in some ms, and is asked right at the start */
+#define LISTS_US \
+	100000 /* wait for the list of engines: the store is asked right at the start */
 #define RETRY_MAX_US 5000000 /* the forecast for a later time is too uncertain */
 
 static void add_tokens(const struct rq *o, void *sum)
@@ -26,14 +27,15 @@
 	return sum;
 }
 
-/* When there is free memory for r after so many tokens of others, by what runs now. Right after
- * a start no engine may be known, as their list has not arrived yet. */
+/* Microseconds until there is free memory for r and the tokens of requests ahead of it, by the
+ * running generations. Right after a start no engine may be known, as their list has not
+ * arrived yet. */
 static int64_t memory_forecast_us(const struct rq *r, uint64_t ahead)
 {
 	return cache_revs().backends ? rq_memory_free_in(r, ahead) : LISTS_US;
 }
 
-/* Whether its first token still comes within the latency objective after such a wait. */
+/* Whether its first token still comes within the latency objective after a wait of wait_us. */
 static int in_time(const struct rq *r, int64_t wait_us)
 {
 	int64_t left_us = r->began_us + r->route->objective_us - clock_us();
--- a/test/test_quar_days.c
+++ b/test/test_quar_days.c
@@ -16,10 +16,11 @@
 #define DAY_RUNS 400 /* requests in flight at once */
 #define DAY_US (100 * S)
 #define STEP_US (10 * MS)
-#define LONG_RUN_US S        /* a run that has lasted this long counts as completed */
-#define CRASHING_US (30 * S) /* when it first appears; other crashes may have happened before \
-			      */
-#define COMMON 1             /* request id: one in four requests is this one */
+#define LONG_RUN_US S /* a run that has lasted this long counts as completed */
+#define CRASHING_US                                                               \
+	(30 * S) /* when it first appears; other crashes may have happened before \
+		  */
+#define COMMON 1 /* request id: one in four requests is this one */
 #define CRASHING 2
 
 struct day_run {
