--- a/include/saddlehead/rollout.h
+++ b/include/saddlehead/rollout.h
@@ -71,8 +71,8 @@
 
 struct rollout_state {
 	enum rollout_stage stage;
-	int64_t age_us, for_us; /* time since the order; time allowed for it */
-	int64_t shifted_us;     /* since ROLLOUT_SHIFT began */
+	int64_t age_us, duration_us; /* time since the order; time allowed for it */
+	int64_t shifted_us;          /* since ROLLOUT_SHIFT began */
 	enum rollout_verdict verdict;
 	uint32_t old_runs; /* exchanges in flight at the old version's servers, from all
 			      instances */
--- a/src/core/rollout.c
+++ b/src/core/rollout.c
@@ -18,14 +18,14 @@
 
 static int64_t part_of(const struct rollout_state *s, double part)
 {
-	return (int64_t)((double)s->for_us * part);
+	return (int64_t)((double)s->duration_us * part);
 }
 
 static int may_complete(const struct rollout_state *s)
 {
 	if (s->shifted_us < part_of(s, SHIFT_MIN_PART)) return 0;
 	if (!s->old_runs) return 1;
-	if (s->age_us < s->for_us) return s->age_us >= part_of(s, ROLLOUT_DONE_PART);
+	if (s->age_us < s->duration_us) return s->age_us >= part_of(s, ROLLOUT_DONE_PART);
 	return s->shifted_us >= SHIFT_MAX_US;
 }
 
--- a/src/fleet/limit.c
+++ b/src/fleet/limit.c
@@ -40,12 +40,12 @@
 }
 
 /* Returns 1 if the limit in force changed. */
-static int apply(struct be *b, const struct limit_report *w, const char *source)
+static int apply(struct be *b, const struct limit_report *report, const char *source)
 {
 	int was_limited = be_is_limited(b);
 
-	if (w->per_s >= 0) any_limited = 1;
-	if (!limit_update(&b->limit, w)) return 0;
+	if (report->per_s >= 0) any_limited = 1;
+	if (!limit_update(&b->limit, report)) return 0;
 	log_limit(b, source);
 	if (was_limited == be_is_limited(b)) return 1;
 	b->limit_changed_us = clock_us(); /* also when it ends */
@@ -74,7 +74,7 @@
 {
 	int64_t now = clock_us(), in_1000, from_age, to_age;
 	char id[ENTRY_TEXT_MAX + 1];
-	struct limit_report w;
+	struct limit_report report;
 	struct be *b;
 
 	if (mesh_text(&o[0], id, sizeof id)) return -EBADMSG;
@@ -83,10 +83,10 @@
 	to_age = CLAMP(mesh_int(&o[4]), 0, from_age);
 	b = be_find(id);
 	if (!b || !be_is_incarnation(b, mesh_int(&o[1]))) return 0;
-	w.per_s = in_1000 < 0 ? LIMIT_NONE : (double)in_1000 / 1000;
-	w.from_us = now - from_age - TRANSIT_US;
-	w.to_us = now - to_age;
-	apply(b, &w, from);
+	report.per_s = in_1000 < 0 ? LIMIT_NONE : (double)in_1000 / 1000;
+	report.from_us = now - from_age - TRANSIT_US;
+	report.to_us = now - to_age;
+	apply(b, &report, from);
 	return 0;
 }
 
@@ -168,10 +168,10 @@
 
 void limit_report(struct be *b, double per_s, int64_t sent_us)
 {
-	struct limit_report w = {per_s < 0 ? LIMIT_NONE : per_s, sent_us, clock_us()};
+	struct limit_report report = {per_s < 0 ? LIMIT_NONE : per_s, sent_us, clock_us()};
 
 	add_pending(b);
-	if (apply(b, &w, "itself")) send_all(b);
+	if (apply(b, &report, "itself")) send_all(b);
 }
 
 static void unref(gpointer b)
--- a/src/fleet/mesh_confirm.c
+++ b/src/fleet/mesh_confirm.c
@@ -5,9 +5,9 @@
 
 /*
  * The sender's configuration was confirmed confirmed_ago_us before it sent this heartbeat, and
- * our stamp echo_us had arrived there echo_held_us before. So it was confirmed no earlier than
- * our stamp plus the difference, by our own clock, however long the heartbeat took to arrive
- * and be read.
+ * the stamp echo_us of this instance had arrived there echo_held_us before. So it was confirmed
+ * no earlier than echo_us plus the difference, by this instance's clock, however long the
+ * heartbeat took to arrive and be read.
  */
 static void apply_confirmation(const struct mesh_heartbeat *b)
 {
--- a/src/fleet/mesh_fetch.c
+++ b/src/fleet/mesh_fetch.c
@@ -23,11 +23,12 @@
 #define NEAR_MAX_RATIO 2
 #define NOTHING_NEWER INT64_MAX /* as a revision: requests no item */
 
-static struct mesh_in *fetch;    /* the fetch in progress, or NULL */
-static size_t received;          /* bytes of its answer */
-static int64_t begin_us;         /* when it began */
-static int64_t not_before_us;    /* no fetch begins before */
-static int64_t lacking_since_us; /* since when only the list of servers is missing; 0: no */
+static struct mesh_in *fetch; /* the fetch in progress, or NULL */
+static size_t received;       /* bytes of its answer */
+static int64_t begin_us;      /* when it began */
+static int64_t not_before_us; /* no fetch begins before */
+static int64_t
+	lacking_since_us; /* since when only the list of servers is missing; 0: it is not */
 /* While fetching, detects a stall; else starts the next fetch. */
 static struct ev_timer timer;
 
--- a/src/fleet/probe.c
+++ b/src/fleet/probe.c
@@ -163,7 +163,7 @@
 {
 	if (b->state != BE_READY || b->drained_us || b->probing || !b->own.used) return 0;
 	if (answered_recently(b) || pace_wait_us(b, s, clock_us())) return 0;
-	return s && s->engine && (s->moves || s->backups) && mesh_is_first_user(b);
+	return s && s->engine && (s->moves || s->replicas) && mesh_is_first_user(b);
 }
 
 static int lists_are_stale(void)
--- a/src/fleet/quarantine.c
+++ b/src/fleet/quarantine.c
@@ -173,11 +173,11 @@
 struct scan {
 	int64_t now;
 	int watched;
-	GArray *healthy; /* of struct fp; applied after the iteration, which must not change the
-			    table */
+	GArray *succeeded; /* of struct fp; applied after the iteration, which must not change
+			    the table */
 };
 
-/* Whether servers crashed under it lately, or it is due for a trial run. */
+/* Whether servers crashed lately while the suspect ran there, or it is due for a trial run. */
 static int is_watched(const struct quar_suspect *s, int64_t now)
 {
 	int64_t last_us = s->nruns ? s->run[s->nruns - 1].at_us : 0;
@@ -189,7 +189,7 @@
 static void scan_suspect(const struct quar_suspect *s, void *arg)
 {
 	struct scan *l = arg;
-	int healthy = 0;
+	int succeeded = 0;
 	uint32_t n;
 
 	if (!is_watched(s, l->now)) {
@@ -197,8 +197,8 @@
 		return;
 	}
 	l->watched = 1;
-	n = hooks->unanswered(&s->fp, &healthy);
-	if (healthy) g_array_append_val(l->healthy, s->fp);
+	n = hooks->unanswered(&s->fp, &succeeded);
+	if (succeeded) g_array_append_val(l->succeeded, s->fp);
 	inflight_send(&s->fp, n);
 }
 
@@ -208,11 +208,11 @@
 	struct scan l = {.now = clock_us()};
 	uint32_t i;
 
-	l.healthy = g_array_new(FALSE, FALSE, sizeof(struct fp));
+	l.succeeded = g_array_new(FALSE, FALSE, sizeof(struct fp));
 	quar_each(table, scan_suspect, &l);
-	for (i = 0; i < l.healthy->len; i++)
-		record_success(&g_array_index(l.healthy, struct fp, i), l.now);
-	g_array_free(l.healthy, TRUE);
+	for (i = 0; i < l.succeeded->len; i++)
+		record_success(&g_array_index(l.succeeded, struct fp, i), l.now);
+	g_array_free(l.succeeded, TRUE);
 	if (l.watched) ev_in(t, SCAN_US);
 }
 
--- a/src/fleet/ro.c
+++ b/src/fleet/ro.c
@@ -115,7 +115,7 @@
 
 	return (struct rollout_state){.stage = o->stage,
 				      .age_us = now - o->began_us,
-				      .for_us = o->duration_us,
+				      .duration_us = o->duration_us,
 				      .shifted_us = o->shift_us ? now - o->shift_us : 0};
 }
 
@@ -127,8 +127,8 @@
 	enum rollout_stage next;
 
 	ro_sum_tallies(o, &sum);
-	s.verdict =
-		rollout_judge(&sum, s.age_us >= (int64_t)(s.for_us * ROLLOUT_LAST_PART), &why);
+	s.verdict = rollout_judge(
+		&sum, s.age_us >= (int64_t)(s.duration_us * ROLLOUT_LAST_PART), &why);
 	s.old_runs = ro_old_runs(o);
 	next = rollout_next(&s);
 	if (next == o->stage) return;
--- a/src/fleet/watch_reply.c
+++ b/src/fleet/watch_reply.c
@@ -7,7 +7,7 @@
 #include <errno.h>
 
 /* After this time without an answer the store counts as up again if it answers other instances:
- * it refused this one alone, or has not been called since. */
+ * it refused this instance alone, or has not been called by it since. */
 #define DOWN_MAX_US 5000000
 
 static int up = 1; /* the store answered the last call, or none was made */
--- a/src/internal/conf.h
+++ b/src/internal/conf.h
@@ -46,8 +46,8 @@
 	uint32_t token_bytes; /* memory of one token, in bytes */
 	uint32_t stride;      /* tokens in one event of a stream; 1 if unknown */
 	double link_mbps;     /* bandwidth for memory transfers */
-	int moves, backups;
-	int64_t handle_us; /* how long a replica is kept */
+	int moves, replicas;  /* memory can be moved to, or replicated at, other engines */
+	int64_t handle_us;    /* how long a replica is kept */
 };
 
 struct conf_group {
--- a/src/internal/quarantine.h
+++ b/src/internal/quarantine.h
@@ -15,9 +15,9 @@
 struct quarantine_hooks {
 	/* The request was quarantined, here or elsewhere: its runs must be ended. */
 	void (*quarantined)(const struct fp *fp);
-	/* Returns how many of its runs have not answered yet. Sets *healthy if one has run for
-	 * so long that it won't crash its server any more. */
-	uint32_t (*unanswered)(const struct fp *fp, int *healthy);
+	/* Returns how many of its runs have not answered yet. Sets *succeeded if one has run
+	 * for so long that it won't crash its server any more. */
+	uint32_t (*unanswered)(const struct fp *fp, int *succeeded);
 };
 /* first_start: the whole fleet starts for the first time, so no instance holds verdicts. */
 void quarantine_start(int first_start, const struct quarantine_hooks *hooks);
--- a/src/internal/rq_impl.h
+++ b/src/internal/rq_impl.h
@@ -31,20 +31,19 @@
 struct attempt {
 	struct rq *rq;
 	struct be *be;
-	struct hx *hx;       /* NULL once it has ended */
-	struct be *replica;  /* receives a replica of its memory from the engine; or NULL */
-	int replica_refused; /* a resumption from it was refused; its memory still counts */
-	int replica_freed;   /* the run succeeded, or its replica was taken over */
-	int from_copy;       /* resumes from a copy: the same run, not a retry */
-	int prefill_counted; /* its prompt is counted in the prefill of be */
-	uint32_t forecast;   /* tokens counted on be and replica: expected in the end ... */
-	uint32_t used;       /* ... and in use now */
-	uint32_t
-		unreplicated; /* of used, while its memory must be moved if its engine leaves */
-	uint64_t recounted;   /* count of events when its memory was last counted */
-	int was_cold;         /* its server was cold when it was sent */
-	int not_run;          /* the answer states that the request was not run */
-	int answered;         /* the head of a valid answer arrived */
+	struct hx *hx;         /* NULL once it has ended */
+	struct be *replica;    /* receives a replica of its memory from the engine; or NULL */
+	int replica_refused;   /* a resumption from it was refused; its memory still counts */
+	int replica_freed;     /* the run succeeded, or its replica was taken over */
+	int from_copy;         /* resumes from a copy: the same run, not a retry */
+	int prefill_counted;   /* its prompt is counted in the prefill of be */
+	uint32_t forecast;     /* tokens counted on be and replica: expected in the end ... */
+	uint32_t used;         /* ... and in use now */
+	uint32_t unreplicated; /* of used: must be moved if its engine leaves */
+	uint64_t recounted;    /* count of events when its memory was last counted */
+	int was_cold;          /* its server was cold when it was sent */
+	int not_run;           /* the answer states that the request was not run */
+	int answered;          /* the head of a valid answer arrived */
 	int64_t sent_us, first_us;
 	struct evs evs;
 };
@@ -206,7 +205,7 @@
 struct be *rq_pick_replica(struct attempt *att);
 /* Microseconds until b may get new work of r's service; INT64_MAX: no such time is known. */
 int64_t rq_usable_in(struct be *b, const struct rq *r, int64_t now);
-/* Describes b as a candidate; dc: the data centre that near and far refer to. */
+/* Describes b as a candidate; dc: the data centre from which it is reached. */
 void rq_fill_server(struct place_server *s, struct be *b, const struct rq *r, const char *dc,
 		    int64_t now);
 /* Load of all instances together on b. */
@@ -247,6 +246,7 @@
 void rq_queue_leave(struct rq *r);
 
 /* rq_load.c */
+/* Adds its load to its servers, or removes it. */
 void att_count_in(struct attempt *att);
 void att_count_out(struct attempt *att);
 /* The first token arrived, so its prompt has been read. */
--- a/src/relay/rq_load.c
+++ b/src/relay/rq_load.c
@@ -52,21 +52,21 @@
 }
 
 /* Sets its counted memory, at its engine and at the engine of its replica. */
-static void count_memory(struct attempt *att, uint32_t held, uint32_t used)
+static void count_memory(struct attempt *att, uint32_t forecast, uint32_t used)
 {
 	uint32_t unreplicated = is_unreplicated(att) ? used : 0;
 
-	att->be->own.forecast += held - att->forecast;
+	att->be->own.forecast += forecast - att->forecast;
 	att->be->own.used += used - att->used;
 	att->be->own.unreplicated += unreplicated - att->unreplicated;
 	att->unreplicated = unreplicated;
 	mesh_load_changed(att->be);
 	if (att->replica) {
-		att->replica->own.replicas += held - att->forecast;
+		att->replica->own.replicas += forecast - att->forecast;
 		att->replica->own.used += used - att->used;
 		mesh_load_changed(att->replica);
 	}
-	att->forecast = held;
+	att->forecast = forecast;
 	att->used = used;
 }
 
@@ -118,14 +118,14 @@
 struct left_replica {
 	struct ev_timer timer;
 	struct be *be;
-	uint32_t held, used;
+	uint32_t forecast, used;
 };
 
 static void on_replica_expired(struct ev_timer *t)
 {
 	struct left_replica *c = (struct left_replica *)t;
 
-	c->be->own.replicas -= c->held;
+	c->be->own.replicas -= c->forecast;
 	c->be->own.used -= c->used;
 	mesh_load_changed(c->be);
 	be_unref(c->be);
@@ -138,8 +138,8 @@
 
 	c->timer.fire = on_replica_expired;
 	c->be = be_ref(att->replica);
-	c->held = c->used = att->used;
-	c->be->own.replicas += c->held;
+	c->forecast = c->used = att->used;
+	c->be->own.replicas += c->forecast;
 	c->be->own.used += c->used;
 	ev_in(&c->timer, att->rq->service->handle_us);
 }
--- a/src/relay/rq_memory.c
+++ b/src/relay/rq_memory.c
@@ -19,16 +19,16 @@
 	};
 }
 
-struct site_list {
+struct engine_list {
 	const struct rq *r;
 	int64_t now;
 	struct forecast_engine s[PLACE_SERVERS_MAX];
 	int n;
 };
 
-static int add_site(struct be *b, void *arg)
+static int add_engine(struct be *b, void *arg)
 {
-	struct site_list *f = arg;
+	struct engine_list *f = arg;
 
 	fill_forecast(&f->s[f->n], b, f->r, f->now);
 	if (f->s[f->n].usable_in_us != FORECAST_NEVER) f->n++;
@@ -37,12 +37,12 @@
 
 int64_t rq_memory_free_in(const struct rq *r, uint64_t before)
 {
-	static struct site_list f;
+	static struct engine_list f;
 
 	f.r = r;
 	f.now = clock_us();
 	f.n = 0;
-	be_walk(r->service->name, rq_cfg->data_centre, rq_walk_start(), add_site, &f);
+	be_walk(r->service->name, rq_cfg->data_centre, rq_walk_start(), add_engine, &f);
 	return forecast_wait_us(f.s, f.n, r->job.prompt + r->job.growth / 2, before);
 }
 
--- a/src/relay/rq_move.c
+++ b/src/relay/rq_move.c
@@ -145,7 +145,7 @@
 {
 	if (!r->service->engine || r->route->resumable) return;
 	if (r->route->kind != CONF_STREAM || r->move.state != MOVE_NONE) return;
-	if (!r->service->moves && !r->service->backups) return;
+	if (!r->service->moves && !r->service->replicas) return;
 	r->move.state = MOVE_PENDING;
 	r->move.tries = 0;
 	r->move.start_by_us = 0;
--- a/src/relay/rq_quarantine.c
+++ b/src/relay/rq_quarantine.c
@@ -14,7 +14,7 @@
 #define COLLECT_US 30000
 /* A stream that runs for so long after its first event counts as successful here: requests that
  * crash engines do so at their beginning. */
-#define PROVEN_AFTER_US 1000000
+#define SUCCESS_AFTER_US 1000000
 /* The last event must be newer: otherwise its engine may have crashed. */
 #define EVENT_AGE_MAX_US 500000
 /* By then, parallel runs of the same request have answered or crashed their servers. */
@@ -139,13 +139,13 @@
 	return r->attempt && r->attempt->hx && !r->attempt->answered;
 }
 
-static int is_proven(const struct rq *r)
+static int counts_as_success(const struct rq *r)
 {
 	const struct attempt *att = r->attempt;
 
 	if (!att || !att->hx || !att->first_us || clock_us() - r->event_us > EVENT_AGE_MAX_US)
 		return 0;
-	return r->event_us - att->first_us >= PROVEN_AFTER_US;
+	return r->event_us - att->first_us >= SUCCESS_AFTER_US;
 }
 
 /* Runs that broke off a moment ago and whose servers are still being checked. */
@@ -175,14 +175,14 @@
 	return n;
 }
 
-static uint32_t count_runs(const struct fp *fp, int *completed)
+static uint32_t count_runs(const struct fp *fp, int *succeeded)
 {
 	uint32_t i;
 
-	for (i = 0; i < rq_all->len && !*completed; i++) {
+	for (i = 0; i < rq_all->len && !*succeeded; i++) {
 		struct rq *r = g_ptr_array_index(rq_all, i);
 
-		if (is_proven(r)) *completed = fp_equal(rq_fp(r), fp);
+		if (counts_as_success(r)) *succeeded = fp_equal(rq_fp(r), fp);
 	}
 	return count_unanswered(fp, NULL);
 }
--- a/src/relay/rq_send.c
+++ b/src/relay/rq_send.c
@@ -90,7 +90,7 @@
 	att->from_copy = copy != NULL;
 	att->prefill_counted = r->service->engine && !copy;
 	att->sent_us = clock_us();
-	if (r->service->backups) att->replica = rq_pick_replica(att);
+	if (r->service->replicas) att->replica = rq_pick_replica(att);
 	if (att->replica) be_ref(att->replica);
 	evs_init(&att->evs);
 	r->sends++;
--- a/src/relay/rq_time.c
+++ b/src/relay/rq_time.c
@@ -82,8 +82,9 @@
 	return clock_us() - MAX(from_us, resumed_us);
 }
 
-/* Nothing arrived for longer than its server is waited for. Checked for running streams too:
- * one stayed on a connection that carried nothing any more until its deadline. */
+/* Whether nothing has arrived for longer than the timeout of the answer, or of the next event.
+ * Checked for running streams too: one stayed on a connection that carried nothing any more
+ * until its deadline. */
 static int is_silent(const struct rq *r)
 {
 	const struct attempt *att = r->attempt;
@@ -123,7 +124,7 @@
 	if (r->event_us) silent_recover(r);
 }
 
-/* Checks sooner than usual where the timeout of an answer is shorter. */
+/* Time until the next check: sooner than usual where the timeout of an answer is shorter. */
 static int64_t next_check_us(const struct rq *r)
 {
 	int64_t most_us, left_us;
--- a/test/test_rollout.c
+++ b/test/test_rollout.c
@@ -135,7 +135,7 @@
 {
 	struct rollout_state s = {.stage = p->stage,
 				  .age_us = now,
-				  .for_us = FOR_US,
+				  .duration_us = FOR_US,
 				  .shifted_us = p->shift_us ? now - p->shift_us : 0};
 	struct rollout_reason why;
 
@@ -221,7 +221,8 @@
 
 static void stages_only_rise(void)
 {
-	struct rollout_state s = {.for_us = FOR_US, .age_us = FOR_US, .verdict = ROLLOUT_BAD};
+	struct rollout_state s = {
+		.duration_us = FOR_US, .age_us = FOR_US, .verdict = ROLLOUT_BAD};
 
 	s.stage = ROLLOUT_UNKNOWN;
 	CU_ASSERT_EQUAL(rollout_next(&s), ROLLOUT_UNKNOWN);
@@ -243,7 +244,7 @@
 {
 	struct rollout_state s = {.stage = ROLLOUT_SHIFT,
 				  .verdict = ROLLOUT_GOOD,
-				  .for_us = FOR_US,
+				  .duration_us = FOR_US,
 				  .age_us = FOR_US * 3 / 4,
 				  .shifted_us = 3000000,
 				  .old_runs = 1};
