--- a/src/core/quar.c
+++ b/src/core/quar.c
@@ -162,7 +162,7 @@
 	s->nruns = 0;
 }
 
-/* Whether a run that completed at at_us refutes the verdict: it completed after the quarantine
+/* Whether a run that succeeded at at_us refutes the verdict: it succeeded after the quarantine
  * began, or so late before it that too few crashes are left to count, and the instance that set
  * the quarantine had not received that. */
 static int is_exonerated(const struct quar *q, const struct quar_suspect *s, int64_t at_us)
--- a/src/fleet/roster.c
+++ b/src/fleet/roster.c
@@ -15,8 +15,9 @@
 #define LEASE_MS 30000    /* a dead instance stays listed for at most this long */
 #define RENEW_US 10000000 /* a third of LEASE_MS */
 #define RETRY_US 1000000  /* after a failed call */
-#define LIST_US 60000000  /* members name each other; this finds separated parts of the fleet \
-			   */
+#define LIST_US                                                                      \
+	60000000 /* members name each other; this finds separated parts of the fleet \
+		  */
 #define LIST_ALONE_US 1500000 /* while no other instance is known */
 #define KEY_CHECK_US 1000000  /* how often an instance without a key checks if it needs one */
 #define SETTLE_US 1500000     /* after the start: the other instances are known by then */
--- a/src/internal/be.h
+++ b/src/internal/be.h
@@ -189,8 +189,8 @@
 int64_t be_usable_in(const struct be *b, int64_t now);
 /* Whether it may get new work now. */
 int be_usable(const struct be *b, int64_t now);
-/* Whether it may be used when no server is usable: it is ready, or its entry went less than
- * be_last_resort_us ago, as entries may lapse all together. */
+/* Whether it may be used when no server is usable: it is ready, or its entry was removed less
+ * than be_last_resort_us ago, as entries may lapse all together. */
 int be_last_resort(const struct be *b, int64_t now);
 
 /* Called when a server starts to leave or is gone; set once. */
@@ -203,8 +203,9 @@
 extern uint32_t (*be_ro_role)(const struct be *b);
 /* Called when a new server or incarnation is listed; set once. */
 extern void (*be_on_new)(struct be *b);
-/* How long a server whose entry went may still get work as a last resort; microseconds. */
+/* How long a server whose entry was removed may still get work as a last resort; microseconds.
+ */
 extern int64_t be_last_resort_us;
-/* How long after a drain streams that can go nowhere else may continue there; microseconds. */
+/* How long after a drain streams that can't be moved may continue there; microseconds. */
 extern int64_t be_drain_grace_us;
 #endif
--- a/src/internal/cache.h
+++ b/src/internal/cache.h
@@ -13,7 +13,7 @@
 };
 
 void cache_init(void);
-/* Longest key accepted, in characters; longer ones were written by somebody else. */
+/* Longest key accepted, in characters; longer ones were written by other users of the store. */
 #define CACHE_KEY_MAX 255
 /* Applies an item if it is newer than the cached one. from: "platform" or the peer. Returns 1
  * if applied. */
--- a/src/internal/mesh.h
+++ b/src/internal/mesh.h
@@ -44,8 +44,8 @@
 int mesh_all_acked(int64_t since_us);
 /* This process resumed after a suspension: what it holds may be out of date. */
 void mesh_resumed(void);
-/* Whether it has been brought up to date by another instance or the store since then, or nobody
- * answers. */
+/* Whether it has been brought up to date by another instance or the store since then, or
+ * neither answers. */
 int mesh_is_current(void);
 /* Whether an instance, this one included, has this address: no backend server can be there. */
 int mesh_is_instance(const struct sockaddr_in *at);
--- a/src/internal/rq_impl.h
+++ b/src/internal/rq_impl.h
@@ -229,8 +229,8 @@
 int rq_recheck_memory(struct rq *r);
 
 /* rq_rate.c */
-/* 1 when r was queued for a send slot, or refused since its slot comes too late; 0 when no
- * server has a slot in sight. */
+/* 1 when r was queued for a send slot, or refused since its slot comes too late; 0 when no slot
+ * of any server is predictable. */
 int rq_wait_for_rate(struct rq *r);
 /* Logs whose rate limit it waits for, if any. */
 void rq_log_rate_wait(const struct rq *r);
--- a/src/relay/rq_rate.c
+++ b/src/relay/rq_rate.c
@@ -67,8 +67,8 @@
 	(*(uint32_t *)n)++;
 }
 
-/* Microseconds until r's send slot; QUOTA_NEVER: none is in sight. first: the server that has
- * the next one. */
+/* Microseconds until r's send slot; QUOTA_NEVER: none is predictable. first: the server that
+ * has the next one. */
 static int64_t send_slot_us(const struct rq *r, struct be **first)
 {
 	struct send_slots *t = collect(r);
--- a/test/test_place.c
+++ b/test/test_place.c
@@ -272,7 +272,7 @@
 	return times;
 }
 
-/* Guards against a server that gets no calls because its first response was a millisecond
+/* Guards against a server that gets no calls because its first answer was a millisecond
  * slower than those of the others. A server with many samples that is slower by as much still
  * gets none. */
 static void a_call_gives_one_with_few_answers_another_chance(void)
--- a/test/test_quar.c
+++ b/test/test_quar.c
@@ -72,7 +72,7 @@
 	quar_free(q);
 }
 
-/* A report that it completed elsewhere may still be in flight. */
+/* A report that it succeeded elsewhere may still be in flight. */
 static void an_end_is_judged_once_all_had_time_to_tell(void)
 {
 	struct quar *q = new_table();
@@ -147,7 +147,7 @@
 	quar_free(q);
 }
 
-/* A frequent request runs on each server that crashes, but completes everywhere else. */
+/* A frequent request runs on each server that crashes, but succeeds everywhere else. */
 static void one_that_comes_through_elsewhere_is_not_blamed(void)
 {
 	struct quar *q = new_table();
@@ -163,7 +163,7 @@
 	quar_free(q);
 }
 
-/* Crashes count again from two seconds after its last completed run. */
+/* Crashes count again from two seconds after its last successful run. */
 static void one_that_came_through_once_may_be_blamed_later(void)
 {
 	struct quar *q = new_table();
--- a/test/test_quar_days.c
+++ b/test/test_quar_days.c
@@ -1,5 +1,5 @@
-/* Simulates days of a fleet: how often the quarantine blames a wrong request, and how many
- * servers it crashes. */
+/* Simulates days of a fleet: how often a wrong request is quarantined, and how many servers
+ * the crashing request crashes before its quarantine. */
 #include "check.h"
 #include "quar_play.h"
 #include <glib.h>
--- a/test/test_rollout.c
+++ b/test/test_rollout.c
@@ -25,7 +25,7 @@
 	return (double)(seed >> 8) / (1 << 24);
 }
 
-/* Lognormal: most responses take about the same time, some several times as long. */
+/* Lognormal: most answers take about the same time, some several times as long. */
 static int64_t draw_time(double mean_us, double spread)
 {
 	double n = 0;
