--- a/src/fleet/mesh_quarantine.c
+++ b/src/fleet/mesh_quarantine.c
@@ -110,7 +110,7 @@
 	mesh_frame_end(&f, out);
 }
 
-void mesh_write_succeeded(GString *out, const struct fp *fp, int64_t ago_us)
+void mesh_write_success(GString *out, const struct fp *fp, int64_t ago_us)
 {
 	write_run(out, MESH_SUCCEEDED, fp, ago_us / 1000);
 }
@@ -120,11 +120,11 @@
 	write_run(out, MESH_IN_FLIGHT, fp, n);
 }
 
-void mesh_send_succeeded(const struct fp *fp, int64_t ago_us)
+void mesh_send_success(const struct fp *fp, int64_t ago_us)
 {
 	GString *out = g_string_new(NULL);
 
-	mesh_write_succeeded(out, fp, ago_us);
+	mesh_write_success(out, fp, ago_us);
 	send_serving(out);
 }
 
@@ -144,7 +144,7 @@
 	if (mesh_int(&a->ptr[0]) == MESH_SUCCEEDED)
 		quarantine_recv_success(&fp, read_age_us(&a->ptr[2]));
 	else
-		quarantine_recv_inflight(m->hb.name, &fp, read_count(&a->ptr[2]));
+		quarantine_recv_in_flight(m->hb.name, &fp, read_count(&a->ptr[2]));
 	return 0;
 }
 
--- a/src/fleet/quarantine.c
+++ b/src/fleet/quarantine.c
@@ -106,7 +106,7 @@
 	int changed = quar_add_success(table, fp, at_us);
 
 	if (!changed) return;
-	mesh_send_succeeded(fp, clock_us() - at_us);
+	mesh_send_success(fp, clock_us() - at_us);
 	if (changed < 2) return;
 	mesh_send_verdict(quar_find(table, fp));
 	verdict_changed(quar_find(table, fp), "a run that came through");
@@ -270,7 +270,7 @@
 	quar_each(table, each_verdict, &e);
 }
 
-void quarantine_recv_inflight(const char *from, const struct fp *fp, uint32_t n)
+void quarantine_recv_in_flight(const char *from, const struct fp *fp, uint32_t n)
 {
 	inflight_recv(from, fp, n);
 }
@@ -290,7 +290,7 @@
 	int64_t ago_us = w->now - s->success_us;
 
 	if (s->success_us && ago_us <= RECENT_CRASH_US)
-		mesh_write_succeeded(w->out, &s->fp, ago_us);
+		mesh_write_success(w->out, &s->fp, ago_us);
 }
 
 void quarantine_write_reports(GString *out)
--- a/src/internal/quarantine.h
+++ b/src/internal/quarantine.h
@@ -57,7 +57,7 @@
 void quarantine_recv_success(const struct fp *fp, int64_t ago_us);
 void quarantine_recv_verdict(const char *from, const struct fp *fp, uint32_t round,
 			     uint32_t cleared, int64_t ago_us);
-void quarantine_recv_inflight(const char *from, const struct fp *fp, uint32_t n);
+void quarantine_recv_in_flight(const char *from, const struct fp *fp, uint32_t n);
 /* A peer has sent all its verdicts. complete: it had received those of others itself. */
 void quarantine_recv_done(int complete);
 /* Appends the reports of crashes and suspects that still count, for a peer that may have missed
