--- a/src/core/quar.c
+++ b/src/core/quar.c
@@ -37,22 +37,22 @@
 	return &q->crash[crash % QUAR_CRASH_LOG];
 }
 
-static int same_crash(const struct quar_crash *e, const char *server, int64_t incarnation)
+static int same_crash(const struct quar_crash *e, const char *server, int64_t incarnation_ms)
 {
-	return e->incarnation == incarnation &&
+	return e->incarnation_ms == incarnation_ms &&
 	       !strncmp(e->server, server, sizeof e->server - 1);
 }
 
-uint32_t quar_add_crash(struct quar *q, const char *server, int64_t incarnation,
+uint32_t quar_add_crash(struct quar *q, const char *server, int64_t incarnation_ms,
 			const char *seen_by, int64_t at_us)
 {
 	uint32_t first = q->ncrashes > QUAR_CRASH_LOG ? q->ncrashes - QUAR_CRASH_LOG : 0, i;
 	struct quar_crash *e;
 
 	for (i = q->ncrashes; i-- > first;)
-		if (same_crash(&q->crash[i % QUAR_CRASH_LOG], server, incarnation)) return i;
+		if (same_crash(&q->crash[i % QUAR_CRASH_LOG], server, incarnation_ms)) return i;
 	e = &q->crash[q->ncrashes % QUAR_CRASH_LOG];
-	*e = (struct quar_crash){.incarnation = incarnation, .at_us = at_us};
+	*e = (struct quar_crash){.incarnation_ms = incarnation_ms, .at_us = at_us};
 	g_strlcpy(e->server, server, sizeof e->server);
 	g_strlcpy(e->seen_by, seen_by, sizeof e->seen_by);
 	return q->ncrashes++;
@@ -162,7 +162,7 @@
 	s->nruns = 0;
 }
 
-/* Whether a run that completed at at_us refutes the verdict: it completed after the quarantine
+/* Whether a run that succeeded at at_us refutes the verdict: it succeeded after the quarantine
  * began, or so late before it that too few crashes are left to count, and the instance that set
  * the quarantine had not received that. */
 static int is_exonerated(const struct quar *q, const struct quar_suspect *s, int64_t at_us)
--- a/src/fleet/quarantine.c
+++ b/src/fleet/quarantine.c
@@ -12,7 +12,7 @@
 /* Delay from a crash to the verdict: each instance that had a run on the server detects the
  * crash by itself, some sooner than others. */
 #define JUDGE_US 200000
-#define ANSWER_POLL_US 5000 /* how often the answers of the others are polled */
+#define ANSWER_POLL_US 5000 /* how often to check whether all others have answered a query */
 /* Peers send their verdicts to a starting instance within some ms of its first links. */
 #define SYNC_US 100000
 #define SYNC_MAX_US 1000000 /* no peer is reached by then: it serves without their verdicts */
@@ -106,7 +106,7 @@
 	int changed = quar_add_success(table, fp, at_us);
 
 	if (!changed) return;
-	mesh_send_succeeded(fp, clock_us() - at_us);
+	mesh_send_success(fp, clock_us() - at_us);
 	if (changed < 2) return;
 	mesh_send_verdict(quar_find(table, fp));
 	verdict_changed(quar_find(table, fp), "a run that came through");
@@ -173,11 +173,11 @@
 struct scan {
 	int64_t now;
 	int watched;
-	GArray *healthy; /* of struct fp; applied after the iteration, which must not change the
-			    table */
+	GArray *succeeded; /* of struct fp; applied after the iteration, which must not change
+			    the table */
 };
 
-/* Whether servers crashed under it lately, or it is due for a trial run. */
+/* Whether servers crashed lately while the suspect ran there, or it is due for a trial run. */
 static int is_watched(const struct quar_suspect *s, int64_t now)
 {
 	int64_t last_us = s->nruns ? s->run[s->nruns - 1].at_us : 0;
@@ -189,7 +189,7 @@
 static void scan_suspect(const struct quar_suspect *s, void *arg)
 {
 	struct scan *l = arg;
-	int healthy = 0;
+	int succeeded = 0;
 	uint32_t n;
 
 	if (!is_watched(s, l->now)) {
@@ -197,8 +197,8 @@
 		return;
 	}
 	l->watched = 1;
-	n = hooks->unanswered(&s->fp, &healthy);
-	if (healthy) g_array_append_val(l->healthy, s->fp);
+	n = hooks->unanswered(&s->fp, &succeeded);
+	if (succeeded) g_array_append_val(l->succeeded, s->fp);
 	inflight_send(&s->fp, n);
 }
 
@@ -208,11 +208,11 @@
 	struct scan l = {.now = clock_us()};
 	uint32_t i;
 
-	l.healthy = g_array_new(FALSE, FALSE, sizeof(struct fp));
+	l.succeeded = g_array_new(FALSE, FALSE, sizeof(struct fp));
 	quar_each(table, scan_suspect, &l);
-	for (i = 0; i < l.healthy->len; i++)
-		record_success(&g_array_index(l.healthy, struct fp, i), l.now);
-	g_array_free(l.healthy, TRUE);
+	for (i = 0; i < l.succeeded->len; i++)
+		record_success(&g_array_index(l.succeeded, struct fp, i), l.now);
+	g_array_free(l.succeeded, TRUE);
 	if (l.watched) ev_in(t, SCAN_US);
 }
 
@@ -270,7 +270,7 @@
 	quar_each(table, each_verdict, &e);
 }
 
-void quarantine_recv_inflight(const char *from, const struct fp *fp, uint32_t n)
+void quarantine_recv_in_flight(const char *from, const struct fp *fp, uint32_t n)
 {
 	inflight_recv(from, fp, n);
 }
@@ -290,7 +290,7 @@
 	int64_t ago_us = w->now - s->success_us;
 
 	if (s->success_us && ago_us <= RECENT_CRASH_US)
-		mesh_write_succeeded(w->out, &s->fp, ago_us);
+		mesh_write_success(w->out, &s->fp, ago_us);
 }
 
 void quarantine_write_reports(GString *out)
--- a/src/internal/be.h
+++ b/src/internal/be.h
@@ -44,7 +44,7 @@
 	int refs;
 	char *id;
 	int64_t incarnation_ms; /* start of this incarnation by its own clock; 0: unknown */
-	char *service, *zone, *address;
+	char *service, *dc, *address;
 	char *version;      /* of its software; empty: unknown */
 	const char *region; /* NULL: unknown */
 	struct sockaddr_in sa;
@@ -53,8 +53,8 @@
 	int unreadable;       /* its entry can't be parsed at present */
 	int64_t drained_us;   /* since when its data centre is drained; 0: it is not */
 	int64_t blocked_us;   /* since when its version is blocked; 0: it is not */
-	/* Its part in a rollout of its service: bits of enum ro_part. */
-	uint32_t ro_part;
+	/* Its role in a rollout of its service: a bit of enum ro_role. */
+	uint32_t ro_role;
 	int64_t last_broken_us; /* when an exchange with it last broke off */
 	uint32_t slots;
 	int64_t state_since_us; /* monotonic: last change of state */
@@ -90,7 +90,7 @@
 };
 
 struct be_info { /* an entry of the platform's list */
-	const char *id, *service, *zone, *address, *version;
+	const char *id, *service, *dc, *address, *version;
 	uint32_t slots;
 	int leaving;
 	int64_t cold_us;
@@ -189,8 +189,8 @@
 int64_t be_usable_in(const struct be *b, int64_t now);
 /* Whether it may get new work now. */
 int be_usable(const struct be *b, int64_t now);
-/* Whether it may be used when no server is usable: it is ready, or its entry went less than
- * be_last_resort_us ago, as entries may lapse all together. */
+/* Whether it may be used when no server is usable: it is ready, or its entry was removed less
+ * than be_last_resort_us ago, as entries may lapse all together. */
 int be_last_resort(const struct be *b, int64_t now);
 
 /* Called when a server starts to leave or is gone; set once. */
@@ -199,12 +199,13 @@
 extern void (*be_on_incarnation_end)(struct be *b);
 /* Whether an instance has this address, so that no backend server can; NULL: unknown. */
 extern int (*be_is_instance)(const struct sockaddr_in *at);
-/* Its part in a rollout of its service, called when it is first listed; set once. */
-extern uint32_t (*be_ro_part)(const struct be *b);
+/* Its role in a rollout of its service, called when it is first listed; set once. */
+extern uint32_t (*be_ro_role)(const struct be *b);
 /* Called when a new server or incarnation is listed; set once. */
 extern void (*be_on_new)(struct be *b);
-/* How long a server whose entry went may still get work as a last resort; microseconds. */
+/* How long a server whose entry was removed may still get work as a last resort; microseconds.
+ */
 extern int64_t be_last_resort_us;
-/* How long after a drain streams that can go nowhere else may continue there; microseconds. */
+/* How long after a drain streams that can't be moved may continue there; microseconds. */
 extern int64_t be_drain_grace_us;
 #endif
--- a/src/internal/mesh.h
+++ b/src/internal/mesh.h
@@ -18,7 +18,7 @@
 /* Whether this instance is one of the few that watch the store for all. */
 int mesh_watches_store(void);
 /* Whether this instance is one of the few that keep calling a store that answers no hub. */
-int mesh_probes_store(void);
+int mesh_retries_store(void);
 /* Whether the store answers some hub, as far as their heartbeats report. */
 int mesh_store_answers(void);
 /* Random back-off in microseconds, before an instance that is neither of these calls the store
@@ -44,8 +44,8 @@
 int mesh_all_acked(int64_t since_us);
 /* This process resumed after a suspension: what it holds may be out of date. */
 void mesh_resumed(void);
-/* Whether it has been brought up to date by another instance or the store since then, or nobody
- * answers. */
+/* Whether it has been brought up to date by another instance or the store since then, or
+ * neither answers. */
 int mesh_is_current(void);
 /* Whether an instance, this one included, has this address: no backend server can be there. */
 int mesh_is_instance(const struct sockaddr_in *at);
--- a/src/internal/quarantine.h
+++ b/src/internal/quarantine.h
@@ -15,9 +15,9 @@
 struct quarantine_hooks {
 	/* The request was quarantined, here or elsewhere: its runs must be ended. */
 	void (*quarantined)(const struct fp *fp);
-	/* Returns how many of its runs have not answered yet. Sets *healthy if one has run for
-	 * so long that it won't crash its server any more. */
-	uint32_t (*unanswered)(const struct fp *fp, int *healthy);
+	/* Returns how many of its runs have not answered yet. Sets *succeeded if one has run
+	 * for so long that it won't crash its server any more. */
+	uint32_t (*unanswered)(const struct fp *fp, int *succeeded);
 };
 /* first_start: the whole fleet starts for the first time, so no instance holds verdicts. */
 void quarantine_start(int first_start, const struct quarantine_hooks *hooks);
@@ -57,7 +57,7 @@
 void quarantine_recv_success(const struct fp *fp, int64_t ago_us);
 void quarantine_recv_verdict(const char *from, const struct fp *fp, uint32_t round,
 			     uint32_t cleared, int64_t ago_us);
-void quarantine_recv_inflight(const char *from, const struct fp *fp, uint32_t n);
+void quarantine_recv_in_flight(const char *from, const struct fp *fp, uint32_t n);
 /* A peer has sent all its verdicts. complete: it had received those of others itself. */
 void quarantine_recv_done(int complete);
 /* Appends the reports of crashes and suspects that still count, for a peer that may have missed
--- a/src/internal/rq_impl.h
+++ b/src/internal/rq_impl.h
@@ -31,20 +31,19 @@
 struct attempt {
 	struct rq *rq;
 	struct be *be;
-	struct hx *hx;       /* NULL once it has ended */
-	struct be *replica;  /* receives a replica of its memory from the engine; or NULL */
-	int replica_refused; /* a resumption from it was refused; its memory still counts */
-	int replica_freed;   /* the run succeeded, or its replica was taken over */
-	int from_copy;       /* resumes from a copy: the same run, not a retry */
-	int prompt_unread;   /* its prompt is counted as unread by be */
-	uint32_t held;       /* tokens counted on be and replica: expected in the end ... */
-	uint32_t used;       /* ... and in use now */
-	uint32_t
-		unreplicated; /* of used, while its memory must be moved if its engine leaves */
-	uint64_t recounted;   /* count of events when its memory was last counted */
-	int was_cold;         /* its server was cold when it was sent */
-	int not_run;          /* the answer states that the request was not run */
-	int answered;         /* the head of a valid answer arrived */
+	struct hx *hx;         /* NULL once it has ended */
+	struct be *replica;    /* receives a replica of its memory from the engine; or NULL */
+	int replica_refused;   /* a resumption from it was refused; its memory still counts */
+	int replica_freed;     /* the run succeeded, or its replica was taken over */
+	int from_copy;         /* resumes from a copy: the same run, not a retry */
+	int prefill_counted;   /* its prompt is counted in the prefill of be */
+	uint32_t forecast;     /* tokens counted on be and replica: expected in the end ... */
+	uint32_t used;         /* ... and in use now */
+	uint32_t unreplicated; /* of used: must be moved if its engine leaves */
+	uint64_t recounted;    /* count of events when its memory was last counted */
+	int was_cold;          /* its server was cold when it was sent */
+	int not_run;           /* the answer states that the request was not run */
+	int answered;          /* the head of a valid answer arrived */
 	int64_t sent_us, first_us;
 	struct evs evs;
 };
@@ -91,15 +90,15 @@
 	int64_t began_us, end_us; /* received whole; deadline of the final answer */
 	int64_t max_pause_us, max_pause_end_us; /* longest pause between events, and its end */
 	int64_t first_us, event_us;             /* first byte to the caller; last event */
-	int stalls; /* consecutive silences after which the engine's memory was asked for */
-	struct ev_timer end_timer, stall_timer;
+	int silences; /* consecutive silences after which the engine's memory was asked for */
+	struct ev_timer end_timer, silence_timer;
 	struct attempt *attempt, *next; /* the current one; the one that is to take over */
 	struct move move;
 	enum rq_wait_reason waiting; /* in the queue of rq_queue.c */
 	int64_t wait_began_us;       /* when it joined the queue; 0: it has not waited */
 	int64_t expected_wait_us;    /* expected wait at that time ... */
 	int64_t forecast_us;         /* ... and by the forecast alone, without past errors */
-	uint32_t rollout_parts; /* bits of enum ro_part: servers that it may go to at present */
+	uint32_t rollout_roles; /* bits of enum ro_role: servers that it may go to at present */
 	int sends;              /* attempts started */
 	int retry_denied;       /* the retry budget denied it a retry */
 	int unreached_count;    /* attempts that reached no server */
@@ -165,7 +164,7 @@
 /* How long to wait for the head of a server's answer. */
 int64_t rq_answer_timeout_us(const struct rq *r);
 /* Silence after which an engine is taken for dead. */
-int64_t rq_stall_timeout_us(const struct rq *r);
+int64_t rq_silence_timeout_us(const struct rq *r);
 /* Time that the engine needs for the prompts it has still to read; they delay the request. */
 int64_t rq_prefill_us(const struct rq *r);
 /* Whether its engine may be silent because it works for others. */
@@ -206,9 +205,9 @@
 struct be *rq_pick_replica(struct attempt *att);
 /* Microseconds until b may get new work of r's service; INT64_MAX: no such time is known. */
 int64_t rq_usable_in(struct be *b, const struct rq *r, int64_t now);
-/* Describes b as a candidate; dc: the data centre that near and far refer to. */
-void rq_fill_site(struct place_server *s, struct be *b, const struct rq *r, const char *dc,
-		  int64_t now);
+/* Describes b as a candidate; dc: the data centre from which it is reached. */
+void rq_fill_server(struct place_server *s, struct be *b, const struct rq *r, const char *dc,
+		    int64_t now);
 /* Load of all instances together on b. */
 struct be_load rq_total_load(const struct be *b);
 
@@ -230,8 +229,8 @@
 int rq_recheck_memory(struct rq *r);
 
 /* rq_rate.c */
-/* 1 when r was queued for a send slot, or refused since its slot comes too late; 0 when no
- * server has a slot in sight. */
+/* 1 when r was queued for a send slot, or refused since its slot comes too late; 0 when no slot
+ * of any server is predictable. */
 int rq_wait_for_rate(struct rq *r);
 /* Logs whose rate limit it waits for, if any. */
 void rq_log_rate_wait(const struct rq *r);
@@ -247,6 +246,7 @@
 void rq_queue_leave(struct rq *r);
 
 /* rq_load.c */
+/* Adds its load to its servers, or removes it. */
 void att_count_in(struct attempt *att);
 void att_count_out(struct attempt *att);
 /* The first token arrived, so its prompt has been read. */
@@ -293,9 +293,9 @@
 void att_note_refused(const struct attempt *att);
 /* By its list entry an incarnation is over: exchanges that broke off there were cut by a crash.
  */
-void rq_note_incarnation_over(const struct be *b);
+void rq_note_incarnation_end(const struct be *b);
 /* One of its runs was answered completely. */
-void rq_note_completed_run(struct rq *r);
+void rq_note_success(struct rq *r);
 /* 1 when it was refused or quarantined because servers crashed while it ran. */
 int rq_check_quarantine(struct rq *r);
 
@@ -349,10 +349,10 @@
 /* It has not answered in time: the source is cancelled, or without one the copy is asked for
  * again. */
 void move_next_timed_out(struct rq *r);
-/* The exchange with the copy's engine was answered, or refused. turned_away: by the engine's
+/* The exchange with the copy's engine was answered, or refused. rejected: by the engine's
  * own answer. */
 void move_next_answered(struct rq *r);
-void move_next_refused(struct rq *r, int turned_away);
+void move_next_refused(struct rq *r, int rejected);
 
 /* rq_move_copy.c */
 void move_copy_begin(struct rq *r);
--- a/src/relay/rq_load.c
+++ b/src/relay/rq_load.c
@@ -3,7 +3,7 @@
 #include "mesh.h"
 #include "rq_impl.h"
 
-/* Between two tokens of a busy engine, until one was measured. */
+/* Assumed interval between two tokens of a busy engine until there is a sample. */
 #define DEFAULT_TOKEN_US 9000
 #define GROWTH_MAX 100000 /* tokens: growth beyond this is counted when it happens */
 
@@ -41,7 +41,7 @@
 	return r->job.prompt + made + MIN(more, GROWTH_MAX);
 }
 
-/* Whether its memory would have to be copied if its engine left, and can be. */
+/* Whether the memory of the run can be copied and would have to be if its engine left. */
 static int is_unreplicated(const struct attempt *att)
 {
 	const struct rq *r = att->rq;
@@ -52,21 +52,21 @@
 }
 
 /* Sets its counted memory, at its engine and at the engine of its replica. */
-static void count_memory(struct attempt *att, uint32_t held, uint32_t used)
+static void count_memory(struct attempt *att, uint32_t forecast, uint32_t used)
 {
 	uint32_t unreplicated = is_unreplicated(att) ? used : 0;
 
-	att->be->own.forecast += held - att->held;
+	att->be->own.forecast += forecast - att->forecast;
 	att->be->own.used += used - att->used;
 	att->be->own.unreplicated += unreplicated - att->unreplicated;
 	att->unreplicated = unreplicated;
 	mesh_load_changed(att->be);
 	if (att->replica) {
-		att->replica->own.replicas += held - att->held;
+		att->replica->own.replicas += forecast - att->forecast;
 		att->replica->own.used += used - att->used;
 		mesh_load_changed(att->replica);
 	}
-	att->held = held;
+	att->forecast = forecast;
 	att->used = used;
 }
 
@@ -82,7 +82,7 @@
 {
 	att->be->own.runs++;
 	be_update_use(att->be);
-	if (att->prompt_unread) att->be->own.prefill += att->rq->job.prompt;
+	if (att->prefill_counted) att->be->own.prefill += att->rq->job.prompt;
 	att_recount(att);
 }
 
@@ -96,8 +96,8 @@
 
 void att_prompt_read(struct attempt *att)
 {
-	if (!att->prompt_unread) return;
-	att->prompt_unread = 0;
+	if (!att->prefill_counted) return;
+	att->prefill_counted = 0;
 	att->be->own.prefill -= att->rq->job.prompt;
 	mesh_load_changed(att->be);
 }
@@ -105,12 +105,12 @@
 void att_drop_replica(struct attempt *att)
 {
 	if (!att->replica) return;
-	att->replica->own.replicas -= att->held;
+	att->replica->own.replicas -= att->forecast;
 	att->replica->own.used -= att->used;
 	mesh_load_changed(att->replica);
 	be_unref(att->replica);
 	att->replica = NULL;
-	count_memory(att, att->held, att->used);
+	count_memory(att, att->forecast, att->used);
 }
 
 /* The replica of a run that did not succeed stays for a while and can't be dropped: its memory
@@ -118,14 +118,14 @@
 struct left_replica {
 	struct ev_timer timer;
 	struct be *be;
-	uint32_t held, used;
+	uint32_t forecast, used;
 };
 
 static void on_replica_expired(struct ev_timer *t)
 {
 	struct left_replica *c = (struct left_replica *)t;
 
-	c->be->own.replicas -= c->held;
+	c->be->own.replicas -= c->forecast;
 	c->be->own.used -= c->used;
 	mesh_load_changed(c->be);
 	be_unref(c->be);
@@ -138,8 +138,8 @@
 
 	c->timer.fire = on_replica_expired;
 	c->be = be_ref(att->replica);
-	c->held = c->used = att->used;
-	c->be->own.replicas += c->held;
+	c->forecast = c->used = att->used;
+	c->be->own.replicas += c->forecast;
 	c->be->own.used += c->used;
 	ev_in(&c->timer, att->rq->service->handle_us);
 }
--- a/src/relay/rq_move_next.c
+++ b/src/relay/rq_move_next.c
@@ -9,14 +9,16 @@
  * the source ran for all that time; 400 ms are allowed, of which the cancellation of the source
  * and a delayed event loop (a megabyte of configuration: 36 ms of processor time) need some. */
 #define OVERLAP_MAX_US 120000
-/* The same without a running source: the connection may be silent for good, and a new one may
- * work. */
+/* Timeout of the next engine's answer without a running source: the connection may be silent
+ * for good, and a new one may work. */
 #define NEXT_TIMEOUT_US 1000000
 #define PAUSE_MAX_US 2000000 /* callers abandon a stream that pauses for longer */
-/* Of one copy: an engine that sheds a third of its requests accepts by then. */
+/* Refusals of one copy that are followed by another try: an engine that sheds a third of its
+ * requests accepts by then. */
 #define COPY_REFUSALS_MAX 3
 
-/* For an engine with a rate limit. 1 when the stream waits for a send slot there, or is lost.
+/* Waits for a send slot if b limits its rate. 1 when the stream waits, or is lost; 0 when it
+ * may be sent now.
  */
 static int wait_for_rate(struct rq *r, struct be *b)
 {
@@ -135,11 +137,11 @@
 	move_reset(r);
 }
 
-/* An engine that is full or sheds load answers like one that has no such copy; the copy may be
- * available a moment later. */
-static int may_ask_again(struct move *m, int turned_away)
+/* Whether to ask for the copy once more. An engine that is full or sheds load answers like one
+ * that has no such copy; the copy may be available a moment later. */
+static int may_ask_again(struct move *m, int rejected)
 {
-	return turned_away && ++m->refusals <= COPY_REFUSALS_MAX;
+	return rejected && ++m->refusals <= COPY_REFUSALS_MAX;
 }
 
 static void give_up_replica(struct attempt *att)
@@ -150,7 +152,7 @@
 
 /* The copy can't be used: the stream stays at its source if that still runs, otherwise the copy
  * is asked for again. */
-void move_next_refused(struct rq *r, int turned_away)
+void move_next_refused(struct rq *r, int rejected)
 {
 	struct move *m = &r->move;
 	int by_handle = m->source_stopped, again;
@@ -159,7 +161,7 @@
 	att_free(r->next);
 	r->next = NULL;
 	move_log(r, "copy_refused", 0);
-	again = may_ask_again(m, turned_away);
+	again = may_ask_again(m, rejected);
 	if (r->attempt->hx && !by_handle) {
 		if (!again) give_up_replica(r->attempt);
 		if (be_is_leaving(r->attempt->be))
--- a/src/relay/rq_quarantine.c
+++ b/src/relay/rq_quarantine.c
@@ -12,9 +12,9 @@
 #define CHECK_TIMEOUT_US 400000
 /* Time after that for the remaining exchanges that the crash broke off to be noticed. */
 #define COLLECT_US 30000
-/* A stream that runs for so long after its first event counts as completed here: requests that
+/* A stream that runs for so long after its first event counts as successful here: requests that
  * crash engines do so at their beginning. */
-#define PROVEN_AFTER_US 1000000
+#define SUCCESS_AFTER_US 1000000
 /* The last event must be newer: otherwise its engine may have crashed. */
 #define EVENT_AGE_MAX_US 500000
 /* By then, parallel runs of the same request have answered or crashed their servers. */
@@ -25,7 +25,7 @@
 	struct cn probe;
 	struct ev_timer timer;
 	struct be *be;
-	GArray *runs; /* of struct poison_run */
+	GArray *runs; /* of struct quarantine_run */
 	int64_t at_us;
 	int crashed; /* it refuses connections */
 };
@@ -103,7 +103,7 @@
 	return ck;
 }
 
-/* Closed by the server's side, without a notice that it leaves. */
+/* Whether the server closed the connection without a notice that it leaves. */
 static int may_have_crashed(const struct be *b, int err)
 {
 	return !be_is_leaving(b) && (err == -EPIPE || err == -ECONNRESET);
@@ -127,7 +127,7 @@
 	if (ck) mark_crashed(ck);
 }
 
-void rq_note_incarnation_over(const struct be *b)
+void rq_note_incarnation_end(const struct be *b)
 {
 	struct crash_check *ck = find_check(b);
 
@@ -139,13 +139,13 @@
 	return r->attempt && r->attempt->hx && !r->attempt->answered;
 }
 
-static int is_proven(const struct rq *r)
+static int counts_as_success(const struct rq *r)
 {
 	const struct attempt *att = r->attempt;
 
 	if (!att || !att->hx || !att->first_us || clock_us() - r->event_us > EVENT_AGE_MAX_US)
 		return 0;
-	return r->event_us - att->first_us >= PROVEN_AFTER_US;
+	return r->event_us - att->first_us >= SUCCESS_AFTER_US;
 }
 
 /* Runs that broke off a moment ago and whose servers are still being checked. */
@@ -175,14 +175,14 @@
 	return n;
 }
 
-static uint32_t count_runs(const struct fp *fp, int *completed)
+static uint32_t count_runs(const struct fp *fp, int *succeeded)
 {
 	uint32_t i;
 
-	for (i = 0; i < rq_all->len && !*completed; i++) {
+	for (i = 0; i < rq_all->len && !*succeeded; i++) {
 		struct rq *r = g_ptr_array_index(rq_all, i);
 
-		if (is_proven(r)) *completed = fp_equal(rq_fp(r), fp);
+		if (counts_as_success(r)) *succeeded = fp_equal(rq_fp(r), fp);
 	}
 	return count_unanswered(fp, NULL);
 }
@@ -200,7 +200,7 @@
 	}
 }
 
-void rq_note_completed_run(struct rq *r)
+void rq_note_success(struct rq *r)
 {
 	quarantine_note_success(rq_fp(r));
 }
--- a/src/relay/rq_send.c
+++ b/src/relay/rq_send.c
@@ -59,7 +59,8 @@
 	struct be_load all;
 	GString *g;
 
-	if (!r->service->engine && r->sends < 2) return; /* the line at its end has the same */
+	if (!r->service->engine && r->sends < 2)
+		return; /* the log line at its end states the same */
 	all = rq_total_load(att->be);
 	g = jlog_begin("relay", "request_sent");
 	jlog_str(g, "request", r->in.id);
@@ -87,9 +88,9 @@
 	att->rq = r;
 	att->be = be_ref(b);
 	att->from_copy = copy != NULL;
-	att->prompt_unread = r->service->engine && !copy;
+	att->prefill_counted = r->service->engine && !copy;
 	att->sent_us = clock_us();
-	if (r->service->backups) att->replica = rq_pick_replica(att);
+	if (r->service->replicas) att->replica = rq_pick_replica(att);
 	if (att->replica) be_ref(att->replica);
 	evs_init(&att->evs);
 	r->sends++;
