--- a/bench/bench_entry.c
+++ b/bench/bench_entry.c
@@ -1,11 +1,11 @@
-/* The platform path through one real entry: processor time an event and a call, memory a
- * connection and a stream. The world around it is the tests' small platform. */
+/* Requests through one real entry: processor time per event and call, memory per connection and
+ * stream. The environment is that of the tests (pw.h). */
 #include "pw.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* How many of each; the figures are told for one. */
+/* Numbers of each; the printed figures are for one. */
 #define STREAMS 200
 #define STREAM_EVENTS 400
 #define CALLS 3000
@@ -39,7 +39,8 @@
 	int i, k, good = 0;
 
 	for (i = 0; i < CALLS / CALLS_AT_ONCE; i++) {
-		for (k = 0; k < CALLS_AT_ONCE; k++) c[k] = pw_ask(e, "POST", "/unsafe/", 5000);
+		for (k = 0; k < CALLS_AT_ONCE; k++)
+			c[k] = pw_request(e, "POST", "/unsafe/", 5000);
 		for (k = 0; k < CALLS_AT_ONCE; k++) {
 			pw_call_wait(c[k], 5000);
 			good += c[k]->status == 200;
@@ -57,12 +58,12 @@
 	double before = cpu_s(e), rss = rss_kb(e);
 	int i, whole = 0;
 
-	for (i = 0; i < STREAMS; i++) c[i] = pw_ask(e, "POST", "/chat/", 60000);
+	for (i = 0; i < STREAMS; i++) c[i] = pw_request(e, "POST", "/chat/", 60000);
 	pw_run(1000);
 	printf("entry_kb_per_stream %.2f\n", (rss_kb(e) - rss) / STREAMS);
 	for (i = 0; i < STREAMS; i++) {
 		pw_call_wait(c[i], 60000);
-		whole += pw_stream_whole(c[i], STREAM_EVENTS);
+		whole += pw_stream_complete(c[i], STREAM_EVENTS);
 	}
 	printf("entry_streams_whole %d\n", whole);
 	printf("entry_us_per_event %.2f\n",
@@ -100,7 +101,7 @@
 
 	pw_init();
 	pw_conf.timeout_ms = 60000;
-	pw_conf.tokens = 100000000; /* this is about the entry, not about room */
+	pw_conf.tokens = 100000000; /* this measures the entry, not waits for memory */
 	pw_conf.version = 2;
 	pw_conf_write();
 	s = pw_server_add("llm", 1);
--- a/src/entry/main.c
+++ b/src/entry/main.c
@@ -1,4 +1,4 @@
-/* saddlehead-entry: one instance that serves callers on the platform, as a process. */
+/* saddlehead-entry: the process of one instance that serves callers on the platform. */
 #include "clock.h"
 #include "dialect.h"
 #include "entry.h"
@@ -10,9 +10,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SIGNAL_LOOK_US 50000 /* how often flags set by signals are looked at */
+#define SIGNAL_POLL_US 50000 /* how often the flags set by signals are checked */
 
-static volatile sig_atomic_t asked_to_drain, asked_to_reload;
+static volatile sig_atomic_t drain_requested, reload_requested;
 static volatile int stopped;
 static const char *settings_path;
 static struct entry_cfg cfg;
@@ -26,16 +26,16 @@
 static void on_term(int sig)
 {
 	(void)sig;
-	asked_to_drain = 1;
+	drain_requested = 1;
 }
 
 static void on_hup(int sig)
 {
 	(void)sig;
-	asked_to_reload = 1;
+	reload_requested = 1;
 }
 
-/* What is being read is read on: settings, too. */
+/* Interrupted reads are restarted, among them that of the settings. */
 static void catch_signals(void)
 {
 	struct sigaction term = {.sa_handler = on_term, .sa_flags = SA_RESTART};
@@ -62,14 +62,14 @@
 	jlog_end(g);
 }
 
-static void on_signal_look(struct ev_timer *t)
+static void on_signal_timer(struct ev_timer *t)
 {
-	ev_in(t, SIGNAL_LOOK_US);
-	if (asked_to_reload) {
-		asked_to_reload = 0;
+	ev_in(t, SIGNAL_POLL_US);
+	if (reload_requested) {
+		reload_requested = 0;
 		reload();
 	}
-	if (asked_to_drain) entry_drain();
+	if (drain_requested) entry_drain();
 	if (entry_drained()) stopped = 1;
 }
 
@@ -107,11 +107,11 @@
 	GString *g;
 
 	if (jlog_start(cfg.instance) || ev_init()) {
-		fprintf(stderr, "saddlehead-entry: no thread or event loop can be had\n");
+		fprintf(stderr, "saddlehead-entry: cannot start the log or event loop\n");
 		return 1;
 	}
-	if (asked_to_drain) {
-		log_stopped("asked to while it read its settings");
+	if (drain_requested) {
+		log_stopped("stop requested while the settings were read");
 		return 0;
 	}
 	if (entry_start(&cfg, &e)) {
@@ -122,8 +122,8 @@
 	jlog_str(g, "front", cfg.front_text);
 	jlog_str(g, "data_centre", cfg.data_centre);
 	jlog_end(g);
-	signal_timer.fire = on_signal_look;
-	ev_in(&signal_timer, SIGNAL_LOOK_US);
+	signal_timer.fire = on_signal_timer;
+	ev_in(&signal_timer, SIGNAL_POLL_US);
 	ev_run(&stopped);
 	entry_stop();
 	log_stopped(NULL);
--- a/src/fleet/poison_write.c
+++ b/src/fleet/quarantine_write.c
@@ -1,15 +1,15 @@
-/* Verdicts and ends as operators read them: log lines, and a list. */
+/* Log lines of crashes and verdicts, and the list of quarantined requests for operators. */
 #include "clock.h"
 #include "jlog.h"
-#include "poison_impl.h"
+#include "quarantine_impl.h"
 
-static void add_ends(GString *g, const struct quar *q, const struct quar_suspect *s)
+static void add_crashes(GString *g, const struct quar *q, const struct quar_suspect *s)
 {
 	GString *servers = g_string_new(NULL), *seen_by = g_string_new(NULL);
 	int i;
 
 	for (i = 0; i < s->nruns; i++) {
-		const struct quar_end *e = quar_end_of(q, s->run[i].end);
+		const struct quar_crash *e = quar_crash_of(q, s->run[i].crash);
 
 		if (!e) continue;
 		g_string_append_printf(servers, "%s%s", servers->len ? " " : "", e->server);
@@ -21,21 +21,22 @@
 	g_string_free(seen_by, TRUE);
 }
 
-void poison_log_verdict(const struct quar *q, const struct quar_suspect *s, const char *said_by)
+void quarantine_log_verdict(const struct quar *q, const struct quar_suspect *s,
+			    const char *reported_by)
 {
-	GString *g = jlog_begin("fleet",
-				quar_is_blocked(s) ? "request_blocked" : "request_unblocked");
+	GString *g = jlog_begin("fleet", quar_is_quarantined(s) ? "request_blocked"
+								: "request_unblocked");
 	char print[FP_HEX];
 
-	fp_write(&s->fp, print);
+	fp_format(&s->fp, print);
 	jlog_str(g, "fingerprint", print);
-	jlog_str(g, "said_by", said_by);
+	jlog_str(g, "said_by", reported_by);
 	jlog_int(g, "round", s->round);
-	add_ends(g, q, s);
+	add_crashes(g, q, s);
 	jlog_end(g);
 }
 
-void poison_log_end(const char *server, const char *seen_by, int runs)
+void quarantine_log_crash(const char *server, const char *seen_by, int runs)
 {
 	GString *g = jlog_begin("fleet", "backend_ended");
 
@@ -45,18 +46,19 @@
 	jlog_end(g);
 }
 
-void poison_log_end_told(const char *server, const char *said_by, int runs, int64_t at_us)
+void quarantine_log_crash_report(const char *server, const char *reported_by, int runs,
+				 int64_t at_us)
 {
 	GString *g = jlog_begin("fleet", "backend_end_told");
 
 	jlog_str(g, "backend", server);
-	jlog_str(g, "said_by", said_by);
+	jlog_str(g, "said_by", reported_by);
 	jlog_int(g, "runs", runs);
 	jlog_int(g, "ago_ms", (clock_us() - at_us) / 1000);
 	jlog_end(g);
 }
 
-struct list { /* that is being written */
+struct list { /* the JSON list that is being written */
 	GString *out;
 	const struct quar *q;
 };
@@ -69,23 +71,23 @@
 	char print[FP_HEX];
 	int i;
 
-	if (!quar_is_blocked(s)) return;
-	fp_write(&s->fp, print);
+	if (!quar_is_quarantined(s)) return;
+	fp_format(&s->fp, print);
 	g_string_append_printf(out,
 			       "%s{\"fingerprint\":\"%s\",\"round\":%u,\"blocked_s\":%.1f,"
 			       "\"trial_in_s\":%.1f,\"backends\":[",
 			       out->str[out->len - 1] == '[' ? "" : ",\n", print, s->round,
-			       (double)(now - s->blocked_us) / 1e6,
+			       (double)(now - s->quarantined_us) / 1e6,
 			       (double)MAX(quar_until_us(s) - now, 0) / 1e6);
 	for (i = 0; i < s->nruns; i++) {
-		const struct quar_end *e = quar_end_of(l->q, s->run[i].end);
+		const struct quar_crash *e = quar_crash_of(l->q, s->run[i].crash);
 
 		if (e) g_string_append_printf(out, "%s\"%s\"", i ? "," : "", e->server);
 	}
 	g_string_append(out, "]}");
 }
 
-void poison_write_blocked(GString *out, const struct quar *q)
+void quarantine_write_list(GString *out, const struct quar *q)
 {
 	struct list l = {out, q};
 
--- a/test/test_relay.c
+++ b/test/test_relay.c
@@ -1,4 +1,4 @@
-/* The platform path through the real program: requests, refusals, streams, moves. */
+/* Requests through the real program: plain calls, refusals, misbehaving servers, streams. */
 #include "check.h"
 #include "clock.h"
 #include "pw.h"
@@ -19,7 +19,7 @@
 	s = pw_server_add("app", 0);
 	pw_server_add("app2", 0);
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/unsafe/x?q=1", 2000);
+	c = pw_request(e, "POST", "/unsafe/x?q=1", 2000);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
 	CU_ASSERT(g_str_has_prefix(c->body->str, "answer to "));
@@ -34,7 +34,8 @@
 	pw_end();
 }
 
-/* Ends of calls whose caller left no time were told to all as the server's failures. */
+/* Missing answers to calls whose caller left too little time were counted and announced to all
+ * instances as failures of the server. */
 static void a_server_is_not_blamed_for_a_caller_s_short_time(void)
 {
 	struct pw_server *s[4];
@@ -47,13 +48,13 @@
 	for (i = 0; i < 2; i++) e[i] = pw_entry_ready();
 	pw_run(900);
 	for (i = 0; i < 2; i++) {
-		c = pw_ask(e[i], "POST", "/unsafe/", 2000);
+		c = pw_request(e[i], "POST", "/unsafe/", 2000);
 		CU_ASSERT(pw_call_wait(c, 2000));
 		CU_ASSERT_EQUAL(c->status, 200);
 	}
 	for (i = 0; i < 4; i++) s[i]->work_ms = 60;
 	for (i = 0; i < 16; i++) {
-		c = pw_ask(e[i % 2], "POST", "/unsafe/", 20);
+		c = pw_request(e[i % 2], "POST", "/unsafe/", 20);
 		CU_ASSERT(pw_call_wait(c, 2000));
 		CU_ASSERT(c->status != 200);
 		pw_run(10);
@@ -62,7 +63,7 @@
 	pw_end();
 }
 
-/* It would run, perhaps to its end, for nobody. */
+/* Otherwise it would run for nobody, perhaps to its end. */
 static void a_call_that_cannot_be_answered_in_time_is_refused_at_once(void)
 {
 	struct pw_server *s;
@@ -74,19 +75,19 @@
 	s->work_ms = 200;
 	for (i = 0; i < 12; i++) CU_ASSERT_EQUAL(pw_status_of_key(e, "k1"), 200);
 	arrivals = s->arrivals;
-	c = pw_ask(e, "POST", "/unsafe/", 50);
+	c = pw_request(e, "POST", "/unsafe/", 50);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT(c->retry_after[0] != 0);
 	CU_ASSERT(c->ended_us - c->began_us < 40000);
 	CU_ASSERT_EQUAL(s->arrivals, arrivals);
-	c = pw_ask(e, "POST", "/unsafe/", 400);
+	c = pw_request(e, "POST", "/unsafe/", 400);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 200);
 	pw_end();
 }
 
-/* Why a call that could have been repeated was not could not be told from logs. */
+/* A denied retry must be visible in the log and in the metrics. */
 static void a_repeat_that_is_held_back_is_told(void)
 {
 	struct pw_server *s;
@@ -98,7 +99,7 @@
 	s = pw_server_add("app", 0);
 	s->mode = PW_RESET;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/safe/", 2000);
+	c = pw_request(e, "POST", "/safe/", 2000);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(c->status, 502);
 	CU_ASSERT_EQUAL(s->arrivals, 1);
@@ -205,7 +206,7 @@
 	check_raw(e, long_head->str, long_head->len, "431");
 	g_string_free(long_head, TRUE);
 	CU_ASSERT_EQUAL(s->arrivals, 0);
-	CU_ASSERT_EQUAL(pw_question(e->ip, PW_READY, "/-/readiness", NULL), 200);
+	CU_ASSERT_EQUAL(pw_get(e->ip, PW_READY, "/-/readiness", NULL), 200);
 	pw_end();
 }
 
@@ -240,7 +241,7 @@
 	int runs;   /* at most */
 };
 
-static void one_misbehaviour(const struct misbehaviour *m)
+static void check_misbehaviour(const struct misbehaviour *m)
 {
 	struct pw_server *s[2];
 	struct pw_entry *e;
@@ -253,7 +254,7 @@
 		s[i]->mode = m->mode;
 	}
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", m->path, 700);
+	c = pw_request(e, "POST", m->path, 700);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	if (c->status != m->status || pw_runs_of(c->id) > m->runs)
 		fprintf(stderr, "mode %d %s: status %d, %d runs\n", m->mode, m->path, c->status,
@@ -274,11 +275,11 @@
 		{PW_CUT_CLOSE, "/unsafe/", 502, 1}, {PW_BREAK, "/unsafe/", 502, 1},
 		{PW_ERROR, "/unsafe/", 500, 1},     {PW_ERROR, "/safe/", 500, 2},
 		{PW_EXTRA, "/unsafe/", 200, 1},     {PW_UNTIL_CLOSE, "/unsafe/", 200, 1},
-		{PW_FULL, "/unsafe/", 503, 0},      {PW_STRANGER, "/unsafe/", 503, 0},
+		{PW_FULL, "/unsafe/", 503, 0},      {PW_OTHER_INCARNATION, "/unsafe/", 503, 0},
 	};
 	size_t i;
 
-	for (i = 0; i < sizeof list / sizeof *list; i++) one_misbehaviour(&list[i]);
+	for (i = 0; i < sizeof list / sizeof *list; i++) check_misbehaviour(&list[i]);
 }
 
 static void a_refusal_says_when_to_come_back(void)
@@ -289,7 +290,7 @@
 	pw_init();
 	pw_server_add("app", 0)->mode = PW_FULL;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/unsafe/", 2000);
+	c = pw_request(e, "POST", "/unsafe/", 2000);
 	CU_ASSERT(pw_call_wait(c, 500));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT(g_ascii_strtod(c->retry_after, NULL) > 0);
@@ -307,11 +308,11 @@
 	pw_init();
 	full = pw_server_add("app", 0);
 	full->mode = PW_FULL;
-	/* so slow that the other one, not known yet, is asked first */
+	/* so slow that the other server, whose answer time is unknown, is tried first */
 	pw_server_add("app", 0)->work_ms = 120;
 	e = pw_entry_ready();
 	for (i = 0; i < 6; i++) {
-		c = pw_ask(e, "POST", "/unsafe/", 2000);
+		c = pw_request(e, "POST", "/unsafe/", 2000);
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 200);
 		CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
@@ -320,7 +321,7 @@
 	pw_end();
 }
 
-/* A call that may run again is not left with a server that says nothing. */
+/* A call that may run again does not wait for a server that does not answer. */
 static void a_silent_server_is_left_for_another(void)
 {
 	struct pw_server *silent;
@@ -331,17 +332,17 @@
 	pw_init();
 	silent = pw_server_add("app", 0);
 	silent->mode = PW_HANG;
-	pw_server_add("app", 0)->work_ms = 60; /* so that the silent one is asked */
+	pw_server_add("app", 0)->work_ms = 60; /* so that the silent one is tried */
 	e = pw_entry_ready();
 	for (i = 0; i < 3; i++) {
-		c = pw_ask(e, "GET", "/safe/", 3000);
+		c = pw_request(e, "GET", "/safe/", 3000);
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 200);
 		CU_ASSERT(pw_runs_of(c->id) <= 2);
 		twice += pw_runs_of(c->id) == 2;
 	}
 	CU_ASSERT(twice > 0);
-	c = pw_ask(e, "POST", "/unsafe/", 1500);
+	c = pw_request(e, "POST", "/unsafe/", 1500);
 	CU_ASSERT(pw_call_wait(c, 2000));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
 	pw_end();
@@ -358,17 +359,17 @@
 	dead = pw_server_add("app", 0);
 	pw_server_add("app", 0);
 	e = pw_entry_ready();
-	pw_server_die(dead);
+	pw_server_crash(dead);
 	for (i = 0; i < 8; i++) {
-		c = pw_ask(e, "POST", "/unsafe/", 2000);
+		c = pw_request(e, "POST", "/unsafe/", 2000);
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 200);
 	}
 	pw_end();
 }
 
-/* Engines that died without a word still stand in the list, idle as it seems: each costs one
- * connection, and no request. */
+/* Engines that crashed without notice are still listed and look idle: each may cost one
+ * connection, but no request. */
 static void closed_ports_cost_a_connection_each(void)
 {
 	struct pw_server *s[12];
@@ -380,15 +381,15 @@
 	for (i = 0; i < 12; i++) s[i] = pw_server_add("llm", 1);
 	for (i = 0; i < 12; i++) s[i]->events = 3;
 	e = pw_entry_ready();
-	for (i = 0; i < 5; i++) pw_server_die(s[i]);
+	for (i = 0; i < 5; i++) pw_server_crash(s[i]);
 	began = clock_us();
 	for (i = 0; i < 12; i++) {
-		struct pw_call *c = pw_ask(e, "POST", "/chat/", 2000);
+		struct pw_call *c = pw_request(e, "POST", "/chat/", 2000);
 
 		CU_ASSERT(pw_call_wait(c, 1000));
 		CU_ASSERT_EQUAL(c->status, 200);
 	}
-	/* An ejected server is tried again after a second: only a busy machine comes to that.
+	/* An ejected server is tried again after a second; only a busy machine takes that long.
 	 */
 	seconds = (int)((clock_us() - began) / 1000000);
 	CU_ASSERT(pw_metric(e, "saddlehead_retried_total{reason=\"connect\"}") <=
@@ -396,7 +397,7 @@
 	pw_end();
 }
 
-/* Nothing was sent when the time ran out: the answer says so, and when to come back. */
+/* Nothing was sent when the deadline passed: the answer says so, with a time to retry after. */
 static void a_server_that_is_not_reached_leaves_the_request_not_run(void)
 {
 	struct pw_server *s;
@@ -407,8 +408,8 @@
 	pw_init();
 	s = pw_server_add("app", 0);
 	e = pw_entry_ready();
-	fd = pw_server_deaf(s);
-	c = pw_ask(e, "POST", "/unsafe/", 150);
+	fd = pw_server_unreachable(s);
+	c = pw_request(e, "POST", "/unsafe/", 150);
 	CU_ASSERT(pw_call_wait(c, 1000));
 	CU_ASSERT_EQUAL(c->status, 503);
 	CU_ASSERT(g_ascii_strtod(c->retry_after, NULL) > 0);
@@ -426,14 +427,14 @@
 	s = pw_server_add("llm", 1);
 	s->events = 1000;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/chat/", 20000);
+	c = pw_request(e, "POST", "/chat/", 20000);
 	pw_run(200);
 	CU_ASSERT(c->events > 3);
-	pw_call_leave(c);
+	pw_call_cancel(c);
 	pw_run(200);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
 	CU_ASSERT(pw_run_of(c->id, 0)->cancelled);
-	CU_ASSERT_EQUAL(pw_entry_wait(e, 50), -1); /* not because it died */
+	CU_ASSERT_EQUAL(pw_entry_wait(e, 50), -1); /* the entry has not exited */
 	pw_end();
 }
 
@@ -448,7 +449,7 @@
 	pw_conf_write();
 	pw_server_add("app", 0)->mode = PW_HANG;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/unsafe/", 5000);
+	c = pw_request(e, "POST", "/unsafe/", 5000);
 	CU_ASSERT(pw_call_wait(c, 1000));
 	CU_ASSERT_EQUAL(c->status, 504);
 	CU_ASSERT(c->ended_us - c->began_us < 550000);
@@ -466,10 +467,10 @@
 	pw_init();
 	pw_server_add("llm", 1);
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/chat/", 5000);
+	c = pw_request(e, "POST", "/chat/", 5000);
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, 30));
-	CU_ASSERT(c->events > 20); /* passed on as they come */
+	CU_ASSERT(pw_stream_complete(c, 30));
+	CU_ASSERT(c->events > 20); /* forwarded as they arrive */
 	pw_end();
 }
 
@@ -485,13 +486,13 @@
 	s[0]->mode = s[1]->mode = PW_BREAK;
 	s[0]->break_after = s[1]->break_after = 7;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/sum/", 5000);
+	c = pw_request(e, "POST", "/sum/", 5000);
 	pw_run(60);
 	s[0]->mode = s[1]->mode = PW_OK;
-	/* the one that runs breaks off by hand */
-	pw_server_die(pw_run_of(c->id, 0)->server);
+	/* stop the engine that runs it */
+	pw_server_crash(pw_run_of(c->id, 0)->server);
 	CU_ASSERT(pw_call_wait(c, 3000));
-	CU_ASSERT(pw_stream_whole(c, 30));
+	CU_ASSERT(pw_stream_complete(c, 30));
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 2);
 	CU_ASSERT(atoi(pw_run_of(c->id, 1)->after) > 0);
 	pw_end();
@@ -508,11 +509,11 @@
 	s->mode = PW_BREAK;
 	s->break_after = 5;
 	e = pw_entry_ready();
-	c = pw_ask(e, "POST", "/chat/", 5000);
+	c = pw_request(e, "POST", "/chat/", 5000);
 	CU_ASSERT(pw_call_wait(c, 3000));
 	CU_ASSERT(c->err != 0);
 	CU_ASSERT_EQUAL(pw_runs_of(c->id), 1);
-	CU_ASSERT_PTR_NULL(strstr(c->body->str, "id: 99")); /* an event that was cut */
+	CU_ASSERT_PTR_NULL(strstr(c->body->str, "id: 99")); /* part of a cut event */
 	CU_ASSERT(pw_log_has(e, "stream_lost") || pw_log_has(e, "broken_off"));
 	pw_end();
 }
